--- a/internal/backend/closed_test.go
+++ b/internal/backend/closed_test.go
@@ -41,7 +41,7 @@
 	_, isTaken := set.AcquireLife(backend.Life{ID: "a"}, backend.Online, nil)
 	require.False(t, isTaken)
 	require.False(t, set.IsEvacuated("s"))
-	require.Equal(t, 1, set.ServiceLoad("s", time.Now()).BackEnds)
+	require.Equal(t, 1, set.ServiceLoad("s", time.Now()).Backends)
 
 	set.SetEvacuated(map[string]bool{"one": true, "two": true}, time.Now())
 	require.True(t, set.IsEvacuated("s"))
@@ -60,8 +60,8 @@
 	return set
 }
 
-// TestColdBackEndGetsItsSeats and no more, until it is warm.
-func TestColdBackEndGetsItsSeats(t *testing.T) {
+// TestColdBackendGetsItsSeats and no more, until it is warm.
+func TestColdBackendGetsItsSeats(t *testing.T) {
 	set := pacedSet(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
 	taken := 0
--- a/internal/backend/life_test.go
+++ b/internal/backend/life_test.go
@@ -111,8 +111,8 @@
 	require.Equal(t, "127.0.0.1:1", got.Address)
 }
 
-// TestBackEndsThatTellNoBirth are one life as long as they are listed.
-func TestBackEndsThatTellNoBirth(t *testing.T) {
+// TestBackendsThatTellNoBirth are one life as long as they are listed.
+func TestBackendsThatTellNoBirth(t *testing.T) {
 	set := NewSet()
 	require.Equal(t, ListingNew, set.Put(reborn(0)))
 	_, found := set.Acquire("one", Online, nil)
--- a/internal/backend/serviceload.go
+++ b/internal/backend/serviceload.go
@@ -5,7 +5,7 @@
 // ServiceLoad is the work of all daemons in the slots of a service's backends that take
 // work.
 type ServiceLoad struct {
-	BackEnds int
+	Backends int
 	Slots    int
 	Online   int
 	Batch    int
@@ -22,7 +22,7 @@
 			continue
 		}
 		online, batch, _ := known.load()
-		total.BackEnds++
+		total.Backends++
 		total.Slots += known.Slots
 		online = min(online, known.Slots)
 		total.Online += online
--- a/internal/backend/serviceload_test.go
+++ b/internal/backend/serviceload_test.go
@@ -20,6 +20,6 @@
 	set.SetPeerLoads("d1", map[string]PeerLoad{"a": {Online: 7, Batch: 2}, "b": {Online: 1, Batch: 1}, "leaving": {Online: 2}}, 0)
 	_, found := set.Acquire("b", Batch, nil)
 	require.True(t, found)
-	require.Equal(t, ServiceLoad{BackEnds: 2, Slots: 8, Online: 5, Batch: 2}, set.ServiceLoad("s", now))
+	require.Equal(t, ServiceLoad{Backends: 2, Slots: 8, Online: 5, Batch: 2}, set.ServiceLoad("s", now))
 	require.Equal(t, 1, set.OwnBatch("s"))
 }
--- a/internal/batchroom/demand.go
+++ b/internal/batchroom/demand.go
@@ -39,8 +39,8 @@
 
 // Load is a service's load as a daemon sees it.
 type Load struct {
-	// BackEnds are those that take work, and Slots theirs.
-	BackEnds int
+	// Backends are those that take work, and Slots theirs.
+	Backends int
 	Slots    int
 	// Online and Batch are the requests in flight there from all daemons.
 	Online int
--- a/internal/batchroom/giveway.go
+++ b/internal/batchroom/giveway.go
@@ -28,7 +28,7 @@
 // Roomy is how many slots must be free for a request to find a place by asking, though it
 // knew nothing of the backends' loads.
 func Roomy(load Load) int {
-	perBackEnd := float64(load.Slots) / float64(max(load.BackEnds, 1))
-	busyShare := math.Pow(placelessShare, 1/(questionsLeft*max(perBackEnd, 1)))
+	perBackend := float64(load.Slots) / float64(max(load.Backends, 1))
+	busyShare := math.Pow(placelessShare, 1/(questionsLeft*max(perBackend, 1)))
 	return int(math.Ceil(float64(load.Slots) * (1 - busyShare)))
 }
--- a/internal/batchroom/giveway_test.go
+++ b/internal/batchroom/giveway_test.go
@@ -17,7 +17,7 @@
 	require.Zero(t, excess(fleet(500, 140), &Demand{}))
 	require.Positive(t, excess(fleet(540, 140), &Demand{}))
 	require.Equal(t, 30, excess(fleet(800, 30), &Demand{}), "no more than there are")
-	oneSlotEach := Load{BackEnds: 720, Slots: slots, Online: 500, Batch: 140}
+	oneSlotEach := Load{Backends: 720, Slots: slots, Online: 500, Batch: 140}
 	require.Positive(t, excess(oneSlotEach, &Demand{}), "a back end of one slot is full or not")
 }
 
--- a/internal/batchroom/room.go
+++ b/internal/batchroom/room.go
@@ -86,7 +86,7 @@
 	for ahead := time.Duration(0); ahead < sight.ItemTime; ahead += SampleInterval {
 		online, _ := sight.Demand.Forecast(ahead, ahead+sight.Age)
 		left := 1 - float64(ahead)/float64(sight.ItemTime)
-		expected := Load{BackEnds: sight.Load.BackEnds, Slots: sight.Load.Slots, Online: online, Batch: int(float64(sight.Load.Batch) * left)}
+		expected := Load{Backends: sight.Load.Backends, Slots: sight.Load.Slots, Online: online, Batch: int(float64(sight.Load.Batch) * left)}
 		least = min(least, expected.room(keptFree(expected)))
 	}
 	return least
--- a/internal/batchroom/room_test.go
+++ b/internal/batchroom/room_test.go
@@ -18,7 +18,7 @@
 
 // fleet is a load of 90 backends.
 func fleet(online, batch int) Load {
-	return Load{BackEnds: 90, Slots: slots, Online: online, Batch: batch}
+	return Load{Backends: 90, Slots: slots, Online: online, Batch: batch}
 }
 
 // TestItemsThatCanWaitLeaveWhatRequestsNeed: beside much online work they are not sent into
@@ -36,7 +36,7 @@
 	require.Zero(t, room.Lasting)
 	require.Greater(t, decide(PolicyReserve, fleet(110, 140), &Demand{}, itemTime).Lasting, 350)
 	require.Equal(t, 720, decide(PolicyReserve, fleet(0, 0), &Demand{}, itemTime).Lasting)
-	small := Load{BackEnds: 3, Slots: 12, Online: 1, Batch: 2}
+	small := Load{Backends: 3, Slots: 12, Online: 1, Batch: 2}
 	require.Equal(t, 8, decide(PolicyReserve, small, &Demand{}, itemTime).Lasting)
 }
 
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -29,7 +29,7 @@
 	total     time.Duration
 	span      time.Duration
 	daemons   int
-	backEnds  int
+	backends  int
 	playName  string
 	jobItems  int
 	tries     int
@@ -60,7 +60,7 @@
 	flags.DurationVar(&c.total, "total", 5*time.Minute, "how long fresh seeds are played")
 	flags.DurationVar(&c.span, "span", 20*time.Second, "how long faults and load of one seed last")
 	flags.IntVar(&c.daemons, "daemons", 5, "`number` of daemons, 2 to 64")
-	flags.IntVar(&c.backEnds, "backends", 0, "`number` of back ends for items; 0 means a few")
+	flags.IntVar(&c.backends, "backends", 0, "`number` of back ends for items; 0 means a few")
 	flags.StringVar(&c.playName, "play", "", "instead of a seed's faults, jobs that are ended while the `play` goes on: calm, pause, throttle, cut-off, lost-end or standstill")
 	flags.IntVar(&c.jobItems, "items", 0, "`number` of items of a play's jobs; 0 means few")
 	flags.IntVar(&c.tries, "shrink", 0, "look for fewer faults that still fail, in so many `tries`")
@@ -142,7 +142,7 @@
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return false, failure.Wrap(err, failure.KindInternal, "soak_directory", "cannot make %s", directory)
 	}
-	options := soak.Options{Binary: c.binary, OtherBinary: c.other, Directory: directory, Seed: seed, Span: c.span, Daemons: c.daemons, ItemBackEnds: c.backEnds, Play: soak.Play(c.playName), JobItems: c.jobItems}
+	options := soak.Options{Binary: c.binary, OtherBinary: c.other, Directory: directory, Seed: seed, Span: c.span, Daemons: c.daemons, ItemBackends: c.backends, Play: soak.Play(c.playName), JobItems: c.jobItems}
 	report, err := soak.Run(ctx, options)
 	if err != nil {
 		return false, err
--- a/internal/frontend/instances_test.go
+++ b/internal/frontend/instances_test.go
@@ -69,8 +69,8 @@
 	requireListed(t, consumer, "a", "b")
 }
 
-// TestBackEndThatLeavesIsOutAtOnce while the store was there all the time.
-func TestBackEndThatLeavesIsOutAtOnce(t *testing.T) {
+// TestBackendThatLeavesIsOutAtOnce while the store was there all the time.
+func TestBackendThatLeavesIsOutAtOnce(t *testing.T) {
 	isSettled := true
 	consumer := newTestConsumer(&isSettled)
 	consumer.Replace([]table.Row{row("a", 1), row("b", 2)}, 2)
@@ -80,9 +80,9 @@
 	requireListed(t, consumer)
 }
 
-// TestEntryThatTurnsOddTakesItsBackEndOut at once, whether or not the store was away,
+// TestEntryThatTurnsOddTakesItsBackendOut at once, whether or not the store was away,
 // and the others hold; a good one lists it again.
-func TestEntryThatTurnsOddTakesItsBackEndOut(t *testing.T) {
+func TestEntryThatTurnsOddTakesItsBackendOut(t *testing.T) {
 	isSettled := true
 	registry := prometheus.NewRegistry()
 	consumer := newMeteredConsumer(&isSettled, registry)
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// sectionRows is the least size of a section, and sectionBackEnds how many usable backends
+	// sectionRows is the least size of a section, and sectionBackends how many usable backends
 	// of each service it has at least: enough for a zone of them to be lost, and for
 	// a daemon's requests to find a place.
 	sectionRows     = 192
-	sectionBackEnds = 5
+	sectionBackends = 5
 	// mostSectionRows bounds a section while a service has too few backends in the whole
 	// table.
 	mostSectionRows = 4096
@@ -42,7 +42,7 @@
 
 	// readRows is the size of the section when it was last read.
 	readRows int
-	// wanted is how many usable backends are sought, where more than sectionBackEnds.
+	// wanted is how many usable backends are sought, where more than sectionBackends.
 	wanted map[string]int
 	// pause is the time between the last two tries for more, and pausedUntil when the
 	// next is made at the earliest.
@@ -111,16 +111,16 @@
 	load := p.backends.ServiceLoad(service, now)
 	isCrowded := float64(load.Online+load.Batch) > crowdedShare*float64(load.Slots)
 	if isCrowded {
-		p.wanted[service] = 2 * max(load.BackEnds, sectionBackEnds)
+		p.wanted[service] = 2 * max(load.Backends, sectionBackends)
 	}
-	isShort := isCrowded || load.BackEnds < (p.wantedOf(service)+1)/2
+	isShort := isCrowded || load.Backends < (p.wantedOf(service)+1)/2
 	if isShort {
-		p.log.Info("more_backends_wanted", "service", service, "known", load.BackEnds, "wanted", p.wantedOf(service), "slots", load.Slots, "online", load.Online, "batch", load.Batch)
+		p.log.Info("more_backends_wanted", "service", service, "known", load.Backends, "wanted", p.wantedOf(service), "slots", load.Slots, "online", load.Online, "batch", load.Batch)
 	}
 	return isShort
 }
 
-func (p *sectionPlan) wantedOf(service string) int { return max(p.wanted[service], sectionBackEnds) }
+func (p *sectionPlan) wantedOf(service string) int { return max(p.wanted[service], sectionBackends) }
 
 // services are those to which the configuration in force sends requests.
 func (p *sectionPlan) services() []string {
--- a/internal/frontend/section_test.go
+++ b/internal/frontend/section_test.go
@@ -58,21 +58,21 @@
 	require.True(t, plan.IsEnough(backendRows(sectionRows, rare)), "no configuration is known yet")
 }
 
-// TestMoreBackEndsAreSoughtWhenFewAreLeft or when those that are known have little room,
+// TestMoreBackendsAreSoughtWhenFewAreLeft or when those that are known have little room,
 // and less and less often while there are no more.
-func TestMoreBackEndsAreSoughtWhenFewAreLeft(t *testing.T) {
+func TestMoreBackendsAreSoughtWhenFewAreLeft(t *testing.T) {
 	plan, backends := testPlan("s")
-	for index := range sectionBackEnds {
+	for index := range sectionBackends {
 		backends.Put(backend.Instance{ID: strconv.Itoa(index), Service: "s", Slots: 2})
 	}
 	require.False(t, plan.WantsMore())
-	for index := range 2 * sectionBackEnds {
-		_, isTaken := backends.Acquire(strconv.Itoa(index%sectionBackEnds), backend.Online, nil)
+	for index := range 2 * sectionBackends {
+		_, isTaken := backends.Acquire(strconv.Itoa(index%sectionBackends), backend.Online, nil)
 		require.True(t, isTaken)
 	}
 	require.True(t, plan.WantsMore(), "all slots are taken")
 	require.False(t, plan.IsEnough(backendRows(sectionRows, func(index int) string {
-		if index < sectionBackEnds {
+		if index < sectionBackends {
 			return "s"
 		}
 		return "other"
--- a/internal/job/bursts_test.go
+++ b/internal/job/bursts_test.go
@@ -18,7 +18,7 @@
 // pictures are 100 to 400 ms old, items of 4.5 s due 18 s after their job came.
 const (
 	loadStep       = 10 * time.Millisecond
-	loadBackEnds   = 30
+	loadBackends   = 30
 	loadSlots      = 8
 	loadOwners     = 20
 	loadSpan       = 60 * time.Second
@@ -60,12 +60,12 @@
 	unplaced int
 	next     time.Time
 	// asked are the backends that had no place.
-	asked [loadBackEnds]bool
+	asked [loadBackends]bool
 }
 
 // loadPictureAt is the fleet's work at a moment.
 type loadPictureAt struct {
-	online, batch [loadBackEnds]int
+	online, batch [loadBackends]int
 	waiting       int
 }
 
@@ -88,8 +88,8 @@
 	arrivals *rand.Rand
 	random   *rand.Rand
 	now      time.Time
-	online   [loadBackEnds][]time.Time
-	items    [loadBackEnds][]*loadItem
+	online   [loadBackends][]time.Time
+	items    [loadBackends][]*loadItem
 	pictures []loadPictureAt
 	owners   []*loadOwner
 	requests []*loadRequest
@@ -113,7 +113,7 @@
 
 // candidates are the backends as an owner sees them: its own items as they are.
 func (w *loadWorld) candidates(owner *loadOwner) []routing.Candidate {
-	picture, own, ownThen := w.seen(owner.age), [loadBackEnds]int{}, [loadBackEnds]int{}
+	picture, own, ownThen := w.seen(owner.age), [loadBackends]int{}, [loadBackends]int{}
 	for _, item := range owner.running {
 		own[item.at]++
 		if w.now.Sub(item.since) >= owner.age {
@@ -121,7 +121,7 @@
 		}
 	}
 	candidates := []routing.Candidate{}
-	for index := range loadBackEnds {
+	for index := range loadBackends {
 		batch := max(picture.batch[index]-ownThen[index], 0) + own[index]
 		candidates = append(candidates, routing.Candidate{
 			ID: fmt.Sprint("b", index), Slots: loadSlots, Online: picture.online[index], Batch: batch, OwnBatch: own[index],
@@ -133,7 +133,7 @@
 func (w *loadWorld) load(owner *loadOwner) backend.ServiceLoad {
 	load := backend.ServiceLoad{}
 	for _, candidate := range w.candidates(owner) {
-		load.BackEnds++
+		load.Backends++
 		load.Slots += candidate.Slots
 		online := min(candidate.Online, loadSlots)
 		load.Online += online
@@ -179,7 +179,7 @@
 }
 
 func (w *loadWorld) endWork() {
-	for index := range loadBackEnds {
+	for index := range loadBackends {
 		w.online[index] = slices.DeleteFunc(w.online[index], func(end time.Time) bool { return !w.now.Before(end) })
 		for _, item := range slices.Clone(w.items[index]) {
 			if w.now.Sub(item.since) < item.left {
@@ -201,7 +201,7 @@
 
 func (w *loadWorld) remember() {
 	picture := loadPictureAt{}
-	for index := range loadBackEnds {
+	for index := range loadBackends {
 		picture.online[index], picture.batch[index] = len(w.online[index]), len(w.items[index])
 	}
 	for _, owner := range w.owners {
@@ -297,15 +297,15 @@
 		w.result.noPlace++
 	}
 	if request.unplaced >= loadQuestions {
-		request.asked = [loadBackEnds]bool{}
+		request.asked = [loadBackends]bool{}
 		request.next = w.now.Add(2 * loadStep)
 	}
 	return false
 }
 
-func (w *loadWorld) draw(picture loadPictureAt, asked [loadBackEnds]bool) int {
-	weights, total := [loadBackEnds]int{}, 0
-	for index := range loadBackEnds {
+func (w *loadWorld) draw(picture loadPictureAt, asked [loadBackends]bool) int {
+	weights, total := [loadBackends]int{}, 0
+	for index := range loadBackends {
 		if asked[index] {
 			continue
 		}
@@ -313,7 +313,7 @@
 		total += weights[index]
 	}
 	if total == 0 {
-		return w.random.IntN(loadBackEnds)
+		return w.random.IntN(loadBackends)
 	}
 	point := w.random.IntN(total)
 	for index, weight := range weights {
@@ -322,12 +322,12 @@
 			return index
 		}
 	}
-	return loadBackEnds - 1
+	return loadBackends - 1
 }
 
 // preempt asks the owner of an item at some backend to take it back.
 func (w *loadWorld) preempt() {
-	index := w.random.IntN(loadBackEnds)
+	index := w.random.IntN(loadBackends)
 	if len(w.items[index]) == 0 {
 		return
 	}
@@ -349,16 +349,16 @@
 func burstsOf(low, high float64, period, burst time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at%period >= period-burst {
-			return high * loadBackEnds * loadSlots
+			return high * loadBackends * loadSlots
 		}
-		return low * loadBackEnds * loadSlots
+		return low * loadBackends * loadSlots
 	}
 }
 
 // TestItemsStepAsideOnce plays online demand of several kinds beside a quarter of the slots
 // in items, with the room that looks free (the standing way) and with the decision.
 func TestItemsStepAsideOnce(t *testing.T) {
-	all := float64(loadBackEnds * loadSlots)
+	all := float64(loadBackends * loadSlots)
 	for _, each := range []struct {
 		name   string
 		online func(time.Duration) float64
@@ -377,7 +377,7 @@
 		{"slow rise", func(at time.Duration) float64 { return (0.1 + 0.5*at.Seconds()/60) * all }, 0.1, 0.1},
 	} {
 		t.Run(each.name, func(t *testing.T) {
-			const jobsPerSecond = loadBackEnds * loadSlots / 4 / 4.5 / loadJobItems
+			const jobsPerSecond = loadBackends * loadSlots / 4 / 4.5 / loadJobItems
 			standing := newLoadWorld(batchroom.PolicyFree, 5).play(each.online, jobsPerSecond)
 			t.Log("standing:", standing)
 			require.Greater(t, standing.cutsPerItem(), max(each.reserve, each.rhythm), "the load tells the ways apart")
--- a/internal/job/pacing_test.go
+++ b/internal/job/pacing_test.go
@@ -100,8 +100,8 @@
 // cannot see each other's placements, many owners with many items each place
 // no more than the service's share for batch, however many passes they make.
 func TestOwnersDoNotPlaceTwiceIntoTheSameRoom(t *testing.T) {
-	const owners, passes, items, backEnds, slots = 10, 3, 200, 40, 10
-	seen := fleetOf(backEnds, slots, 2)
+	const owners, passes, items, backends, slots = 10, 3, 200, 40, 10
+	seen := fleetOf(backends, slots, 2)
 	placed := 0
 	start := time.Now()
 	for owner := range uint64(owners) {
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	const room = (slots - 2) * backEnds
+	const room = (slots - 2) * backends
 	require.LessOrEqual(t, placed, room+owners)
 	require.Greater(t, placed, room/2)
 }
@@ -142,9 +142,9 @@
 	require.False(t, found, "work waits there")
 }
 
-// TestItemsUseIdleBackEndsOfAnySize: also one that has a single slot, however
+// TestItemsUseIdleBackendsOfAnySize: also one that has a single slot, however
 // far away the time is at which they are due.
-func TestItemsUseIdleBackEndsOfAnySize(t *testing.T) {
+func TestItemsUseIdleBackendsOfAnySize(t *testing.T) {
 	for _, slots := range []int{1, 2, 3} {
 		for _, count := range []int{1, 2, 5} {
 			placing := newPlacer(rand.New(rand.NewPCG(6, 6)), "", noBound)
--- a/internal/job/room_test.go
+++ b/internal/job/room_test.go
@@ -27,7 +27,7 @@
 // owners see the same load, all owners together give what is too much, on average.
 func TestOwnersGiveTheirPartOfAnExcessOnce(t *testing.T) {
 	const owners, own, asked, rounds = 20, 7, mostDeclined, 200
-	load := backend.ServiceLoad{BackEnds: 90, Slots: 720, Online: 560, Batch: owners * own}
+	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 560, Batch: owners * own}
 	excess := batchroom.Excess(batchroom.Sight{Load: batchroom.Load(load), Demand: &batchroom.Demand{}})
 	require.Positive(t, excess)
 	random := rand.New(rand.NewPCG(11, 11))
@@ -43,7 +43,7 @@
 // TestItemsGiveWayToAShortageThatIsNotSeen: where room is seen some questions are chance,
 // and many are not.
 func TestItemsGiveWayToAShortageThatIsNotSeen(t *testing.T) {
-	load := backend.ServiceLoad{BackEnds: 90, Slots: 720, Online: 300, Batch: 140}
+	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 300, Batch: 140}
 	owner, now := newRooms(batchroom.PolicyRhythm, rand.New(rand.NewPCG(12, 12))), time.Unix(1000, 0)
 	require.Zero(t, askedInWindow(owner, load, 10, mostDeclined, now))
 	require.Equal(t, 2, askedInWindow(owner, load, 10, 2, now))
--- a/internal/neighborhood/neighborhood_test.go
+++ b/internal/neighborhood/neighborhood_test.go
@@ -37,9 +37,9 @@
 	require.InDelta(t, means[1000], means[2000], 4)
 }
 
-// TestWhoSharesBackEndsIsTold: daemons whose sections overlap are neighbors, also around the
+// TestWhoSharesBackendsIsTold: daemons whose sections overlap are neighbors, also around the
 // end of the ring, and of the same section each other's.
-func TestWhoSharesBackEndsIsTold(t *testing.T) {
+func TestWhoSharesBackendsIsTold(t *testing.T) {
 	const width = 0.01
 	names := fleet(2000)
 	for _, a := range names[:200] {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -22,7 +22,7 @@
 	return Evidence{Fingerprint: fingerprint, Instance: fmt.Sprintf("i%d", instance), At: at}
 }
 
-func TestThreeEndedBackEndsQuarantine(t *testing.T) {
+func TestThreeEndedBackendsQuarantine(t *testing.T) {
 	ledger, culprit := NewLedger(testPolicy), numbered(1)
 	for instance := range 2 {
 		require.True(t, ledger.Add(evidenceOf(culprit, instance, testStart), false))
--- a/internal/routing/cost_test.go
+++ b/internal/routing/cost_test.go
@@ -80,9 +80,9 @@
 // TestChoicesFromOnePictureSpread: daemons that choose at the same moment from
 // the same picture do not all fill the backend that looks best.
 func TestChoicesFromOnePictureSpread(t *testing.T) {
-	const backEnds, choices, slots = 72, 100, 9
+	const backends, choices, slots = 72, 100, 9
 	candidates := []routing.Candidate{}
-	for index := range backEnds {
+	for index := range backends {
 		candidates = append(candidates, routing.Candidate{ID: fmt.Sprintf("b%d", index), Slots: slots, Online: 2 + index%3, UncachedTokens: 600})
 	}
 	candidates[0].Online, candidates[1].Online = 0, slots
--- a/internal/serving/lives_test.go
+++ b/internal/serving/lives_test.go
@@ -35,9 +35,9 @@
 	return place, err
 }
 
-// TestBackEndThatStartsAgainHoldsNoPlace: the script finds that the place is not sent to
+// TestBackendThatStartsAgainHoldsNoPlace: the script finds that the place is not sent to
 // the new life, and the request asks others at once.
-func TestBackEndThatStartsAgainHoldsNoPlace(t *testing.T) {
+func TestBackendThatStartsAgainHoldsNoPlace(t *testing.T) {
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	caller := &recorder{}
 	sender := &rebornScript{script: &script{ran: map[string]bool{}, lastSeen: caller, refusals: []serving.Reason{serving.ReasonRefused, serving.ReasonRefused, serving.ReasonRefused}}}
@@ -65,9 +65,9 @@
 
 func (s *crashing) HasEnded(context.Context, serving.Attempt) bool { return false }
 
-// TestTwoLivesOfOneBackEndAreTwoEnds: a request that ends a backend which starts again
+// TestTwoLivesOfOneBackendAreTwoEnds: a request that ends a backend which starts again
 // under its id is quarantined, although a connection to it can be made at once.
-func TestTwoLivesOfOneBackEndAreTwoEnds(t *testing.T) {
+func TestTwoLivesOfOneBackendAreTwoEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		guard, backends := newGuard(), backend.NewSet()
 		guarded := serving.NewGuardedSender(&crashing{}, guard, backends, slog.New(slog.DiscardHandler))
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -20,7 +20,7 @@
 		return err
 	}
 	lease.Started()
-	freeBackEnd(answer, lease)
+	freeBackend(answer, lease)
 	if !head.Successful() && e.mayRepeatFailure(head) {
 		return &AttemptError{Outcome: OutcomeFailed, Reason: ReasonError}
 	}
@@ -37,7 +37,7 @@
 	if !head.Successful() {
 		e.outcome = "failure_passed_on"
 	}
-	if isBackEndFault(head.Status) {
+	if isBackendFault(head.Status) {
 		e.core.Backends.Failed(e.last.Life(), time.Now())
 	}
 	if err := e.responder.Whole(head, body); err != nil {
@@ -46,16 +46,16 @@
 	return nil
 }
 
-// freeBackEnd gives up what is held at a backend whose answer was read to its end,
+// freeBackend gives up what is held at a backend whose answer was read to its end,
 // before its caller has: one who reads nothing would hold a place until it is cut.
-func freeBackEnd(answer Answer, lease *backend.Lease) {
+func freeBackend(answer Answer, lease *backend.Lease) {
 	answer.Detach()
 	lease.Release()
 }
 
-// isBackEndFault tells a backend's own failures from those of requests that
+// isBackendFault tells a backend's own failures from those of requests that
 // ran out of time.
-func isBackEndFault(status int) bool {
+func isBackendFault(status int) bool {
 	return status >= 500 && status != gatewayTimeout
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (e *exchange) finish(answer Answer, lease *backend.Lease) error {
-	freeBackEnd(answer, lease)
+	freeBackend(answer, lease)
 	e.runs++
 	e.core.Backends.Succeeded(e.last.Life(), time.Now())
 	e.outcome = "served"
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -317,9 +317,9 @@
 	})
 }
 
-// TestUnreachableBackEndIsNoRun: the question for a place finds it out before
+// TestUnreachableBackendIsNoRun: the question for a place finds it out before
 // a request that runs at most once is sent.
-func TestUnreachableBackEndIsNoRun(t *testing.T) {
+func TestUnreachableBackendIsNoRun(t *testing.T) {
 	caller := &recorder{}
 	sender := &script{refusals: []serving.Reason{serving.ReasonBroken}, ran: map[string]bool{}, lastSeen: caller}
 	core := newCore(sender)
@@ -357,9 +357,9 @@
 	return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonRefused}
 }
 
-// TestNoBackEndIsRefusedAtOnce: with the time to come back, well within the
+// TestNoBackendIsRefusedAtOnce: with the time to come back, well within the
 // objective.
-func TestNoBackEndIsRefusedAtOnce(t *testing.T) {
+func TestNoBackendIsRefusedAtOnce(t *testing.T) {
 	caller := &recorder{}
 	sender := &script{ran: map[string]bool{}, lastSeen: caller}
 	policy := &route.Route{Kind: route.KindOnce, Timeout: time.Minute, Objective: 200 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "none"}}}
@@ -388,8 +388,8 @@
 	return place, err
 }
 
-// TestBackEndThatLeavesWithThePlace: the request goes on to ask others at once.
-func TestBackEndThatLeavesWithThePlace(t *testing.T) {
+// TestBackendThatLeavesWithThePlace: the request goes on to ask others at once.
+func TestBackendThatLeavesWithThePlace(t *testing.T) {
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	caller := &recorder{}
 	sender := &leavingScript{script: &script{ran: map[string]bool{}, lastSeen: caller, refusals: []serving.Reason{serving.ReasonRefused, serving.ReasonRefused, serving.ReasonRefused}}}
--- a/internal/serving/silence_test.go
+++ b/internal/serving/silence_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestSilentBackEndIsLeftInTime: the backends of a zone swallow requests whose work
+// TestSilentBackendIsLeftInTime: the backends of a zone swallow requests whose work
 // takes 15 ms. Their callers wait for a second and want the answer within 200 ms.
-func TestSilentBackEndIsLeftInTime(t *testing.T) {
+func TestSilentBackendIsLeftInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sender := &swallower{takes: workTime}
 		core := zoned(sender)
@@ -181,8 +181,8 @@
 	})
 }
 
-// TestZoneOfASilentBackEndIsLeft: five of six backends stand in a zone that is cut off.
-func TestZoneOfASilentBackEndIsLeft(t *testing.T) {
+// TestZoneOfASilentBackendIsLeft: five of six backends stand in a zone that is cut off.
+func TestZoneOfASilentBackendIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sender := &swallower{takes: workTime, swallows: map[string]bool{}}
 		core := zoned(sender)
--- a/internal/serving/sleep_test.go
+++ b/internal/serving/sleep_test.go
@@ -91,10 +91,10 @@
 	return caller, took
 }
 
-// TestBackEndsAreToldTheTimeThatIsLeftAfterASleep: machines can be suspended with
+// TestBackendsAreToldTheTimeThatIsLeftAfterASleep: machines can be suspended with
 // requests in hand. The steady clock stands still then, and a backend was told the
 // time that the caller would have waited had nobody slept: it worked on for nobody.
-func TestBackEndsAreToldTheTimeThatIsLeftAfterASleep(t *testing.T) {
+func TestBackendsAreToldTheTimeThatIsLeftAfterASleep(t *testing.T) {
 	for name, sender := range map[string]*sleeping{
 		"before the first byte": {beforeSend: time.Second},
 		"between two attempts":  {failsFirst: time.Second},
--- a/internal/waiting/load_test.go
+++ b/internal/waiting/load_test.go
@@ -9,7 +9,7 @@
 
 // The load is played in steps of a millisecond.
 const (
-	backEnds     = 60
+	backends     = 60
 	slots        = 8
 	objective    = 300 * time.Millisecond
 	patience     = 2 * time.Second
@@ -67,8 +67,8 @@
 
 	now     time.Duration
 	waiting []*caller
-	queues  [backEnds][]*caller
-	ends    [backEnds][]time.Duration
+	queues  [backends][]*caller
+	ends    [backends][]time.Duration
 	freed   waiting.Rate
 	lead    waiting.Lead
 	told    []waiting.Sums
@@ -81,7 +81,7 @@
 // sums that are so old.
 func play(how way, ratio float64, age time.Duration, seed uint64) outcome {
 	played := &load{way: how, age: age, random: rand.New(rand.NewPCG(seed, seed))}
-	capacity := float64(backEnds*slots) / meanHeld.Seconds()
+	capacity := float64(backends*slots) / meanHeld.Seconds()
 	for ; played.now < playedTime+patience; played.now += time.Millisecond {
 		demand := capacity * calmShare
 		isCrowded := played.now >= time.Second && played.now < time.Second+overloadTime
@@ -123,7 +123,7 @@
 	if isCrowded && len(l.waiting) > 0 {
 		l.steps++
 		for index := range l.ends {
-			l.empty += float64(slots-len(l.ends[index])) / (slots * backEnds)
+			l.empty += float64(slots-len(l.ends[index])) / (slots * backends)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			l.countTurnedAway(each)
 			return true
 		}
-		at := l.random.IntN(backEnds)
+		at := l.random.IntN(backends)
 		l.queues[at] = append(l.queues[at], each)
 		return true
 	}
@@ -167,7 +167,7 @@
 		return false
 	}
 	each.asked = l.now
-	at := l.random.IntN(backEnds)
+	at := l.random.IntN(backends)
 	if len(l.ends[at]) >= slots {
 		return false
 	}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -53,9 +53,9 @@
 	return most
 }
 
-// TestColdBackEndsStayWithinWhatTheyBear: 20 backends of a zone come back cold, and
+// TestColdBackendsStayWithinWhatTheyBear: 20 backends of a zone come back cold, and
 // 79 daemons send all that they may, on one side of a cut or on two.
-func TestColdBackEndsStayWithinWhatTheyBear(t *testing.T) {
+func TestColdBackendsStayWithinWhatTheyBear(t *testing.T) {
 	all := daemons(79)
 	first := warmup.TurnAt(time.Unix(1_700_000_000, 0))
 	for name, sides := range map[string][][]string{"whole": {all}, "cut": {all[:26], all[26:]}, "one daemon": {all[:1]}} {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestColdBackEndsAreFilled: what they bear is used, up to the share that is given out.
-func TestColdBackEndsAreFilled(t *testing.T) {
+// TestColdBackendsAreFilled: what they bear is used, up to the share that is given out.
+func TestColdBackendsAreFilled(t *testing.T) {
 	const turns, turnsASecond = 40, 4
 	first := warmup.TurnAt(time.Unix(1_700_000_000, 0))
 	total := 0
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -13,7 +13,7 @@
 	'if !isBirth {' 'if false && !isBirth {' platform TestEntriesOfOtherWriters
 mutant odd_entry_keeps_its_back_end internal/frontend/consumers.go \
 	'	c.backends.Remove(row.Key)
-' '' internal/frontend TestEntryThatTurnsOddTakesItsBackEndOut
+' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
 mutant life_kept_over_a_start internal/backend/life.go \
 	'case told.Born != known.Born:' 'case false:' internal/backend TestNewLifeStartsWithNothing
 mutant late_entry_wins internal/backend/life.go \
@@ -32,10 +32,10 @@
 mutant loads_told_without_a_life internal/exchange/message.go \
 	'Born: load.Born, ' '' internal/exchange TestMessagesNameLives
 mutant place_of_the_life_before internal/serving/exchange.go \
-	'AcquireLife(backend.Life{ID: candidate.ID, Born: candidate.Born}, ' 'Acquire(candidate.ID, ' internal/serving TestBackEndThatStartsAgainHoldsNoPlace
+	'AcquireLife(backend.Life{ID: candidate.ID, Born: candidate.Born}, ' 'Acquire(candidate.ID, ' internal/serving TestBackendThatStartsAgainHoldsNoPlace
 mutant ends_by_id internal/serving/guarded.go \
-	's.guard.Crashed(life.String(), runs)' 's.guard.Crashed(life.ID, runs)' internal/serving TestTwoLivesOfOneBackEndAreTwoEnds
+	's.guard.Crashed(life.String(), runs)' 's.guard.Crashed(life.ID, runs)' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
 mutant later_life_confirms_no_end internal/serving/guarded.go \
-	' || s.backends.HasSuccessor(life)' '' internal/serving TestTwoLivesOfOneBackEndAreTwoEnds
+	' || s.backends.HasSuccessor(life)' '' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
 mutant connections_by_id platform/pool.go \
 	'endpoint{life: instance.Life(), ' 'endpoint{life: backend.Life{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -16,7 +16,7 @@
 mutant silence_without_budget internal/serving/silence.go \
 	'!e.core.silences.Spend()' 'false' internal/serving TestEarlyEndsHaveABudget
 mutant silent_zone_asked_again internal/serving/exchange.go \
-	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfASilentBackEndIsLeft
+	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfASilentBackendIsLeft
 mutant nothing_learned internal/silence/silence.go \
 	'learned.add(took)' '_ = took' internal/silence TestQuickServicesAreLeftSoon
 mutant stream_left_before_it_is_late internal/silence/silence.go \
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -13,7 +13,7 @@
 mutant part_given_as_a_copy internal/frontend/source.go \
 	'if !isOffered || held.replica.Section().IsPart {' 'if !isOffered {' internal/frontend TestPartIsNotToldAsTheWhole
 mutant section_never_grows internal/frontend/section.go \
-	'isShort := isCrowded ||' 'isShort := false &&' internal/frontend TestMoreBackEndsAreSoughtWhenFewAreLeft
+	'isShort := isCrowded ||' 'isShort := false &&' internal/frontend TestMoreBackendsAreSoughtWhenFewAreLeft
 mutant rare_services_forgotten internal/frontend/section.go \
 	'if usable[service] < p.wantedOf(service) {' 'if usable[service] < 0 {' internal/frontend TestSectionHasEnoughOfEachService
 mutant all_told_directly internal/neighborhood/neighborhood.go \
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -9,12 +9,12 @@
 mutant order_forgotten_at_a_start internal/frontend/consumers.go \
 	'c.evacuations.replace(rows, version)' '_ = version' internal/frontend TestOrdersForZones
 mutant cold_entries_ignored internal/backend/backend.go \
-	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackEndGetsItsSeats
+	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackendGetsItsSeats
 mutant seats_not_counted internal/backend/closed.go \
-	'known.seats.taken++' '_ = known' internal/backend TestColdBackEndGetsItsSeats
+	'known.seats.taken++' '_ = known' internal/backend TestColdBackendGetsItsSeats
 mutant reopened_zone_is_warm internal/backend/closed.go \
 	's.closing.reopened[zone] = now' '_ = now' internal/backend TestReopenedZoneIsTakenForCold
 mutant pace_by_daemon internal/warmup/warmup.go \
-	'if duty.Owner(key, daemons) == daemon {' 'if duty.Owner(key, daemons) != "" {' internal/warmup TestColdBackEndsStayWithinWhatTheyBear
+	'if duty.Owner(key, daemons) == daemon {' 'if duty.Owner(key, daemons) != "" {' internal/warmup TestColdBackendsStayWithinWhatTheyBear
 mutant both_sides_of_a_cut_take_all internal/warmup/warmup.go \
-	'safeShare = 0.6' 'safeShare = 1.0' internal/warmup TestColdBackEndsStayWithinWhatTheyBear
+	'safeShare = 0.6' 'safeShare = 1.0' internal/warmup TestColdBackendsStayWithinWhatTheyBear
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -149,7 +149,7 @@
 mutant no_framing_check platform/fields.go \
 	'if framings > 1 ||' 'if framings > 2 ||' platform TestBadRequests
 mutant no_instance_check platform/runner.go \
-	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackEndGetsNothingNew'
+	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackendGetsNothingNew'
 mutant relay_counts_own_work internal/exchange/relay.go \
 	'return total.without(r.members[name].work)' 'return total' internal/exchange TestRelayTellsEachDaemonTheOthersWork
 mutant no_draw internal/routing/cost.go \
@@ -216,7 +216,7 @@
 mutant key_stored platform/fields.go \
 	'name != headerKey && ' '' platform TestNoKeyIsStoredWithAJob
 mutant no_tenant_on_items internal/job/attempt.go \
-	'Tenant: running.owner.job.Tenant, ' '' platform TestBackEndsAreToldTheTenantAndNoKey
+	'Tenant: running.owner.job.Tenant, ' '' platform TestBackendsAreToldTheTenantAndNoKey
 mutant jobs_of_all_tenants internal/job/tenant.go \
 	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTheirTenant
 mutant keys_trusted_for_ever internal/access/access.go \
@@ -266,14 +266,14 @@
 mutant spilled_after_an_attempt internal/gateway/completions.go \
 	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestRequestThatMayHaveRunGoesToNoOtherZone
 mutant crash_alone_quarantines internal/quarantine/ledger.go \
-	'l.weight(known) < l.policy.Crashes*wholeWeight' 'l.weight(known) < wholeWeight' internal/quarantine TestThreeEndedBackEndsQuarantine
+	'l.weight(known) < l.policy.Crashes*wholeWeight' 'l.weight(known) < wholeWeight' internal/quarantine TestThreeEndedBackendsQuarantine
 mutant explained_ends_accuse_others internal/quarantine/ledger.go \
 	'		case l.explained[instance] == 0:' '		case l.explained[instance] >= 0:' internal/quarantine TestEndsOfKnownCulpritsAreHeldAgainstNobodyElse
 mutant culprits_hide_behind_others internal/quarantine/ledger.go \
 	'		case !each.hadOutput:' '		case !each.hadOutput && l.explained[instance] == 0:' internal/quarantine TestCulpritsBesideEachOther
 mutant evidence_not_spread internal/quarantine/guard.go \
 	'	g.send(held)
-	// The' '	// The' platform TestRequestThatEndsBackEndsIsStopped
+	// The' '	// The' platform TestRequestThatEndsBackendsIsStopped
 mutant good_end_ignored internal/quarantine/guard.go \
 	'	if isSuspect {' '	if isSuspect && false {' internal/quarantine TestGoodEndTakesTheQuarantineBack
 mutant earlier_success_ignored internal/quarantine/guard.go \
@@ -291,17 +291,17 @@
 mutant quarantined_sent internal/serving/guarded.go \
 	'if _, isHeld := s.guard.Verdict(attempt.Fingerprint); !isHeld {' 'if true {' internal/serving TestGuardedSenderRefusesWhateverTheWay
 mutant every_break_is_a_crash internal/serving/guarded.go \
-	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackEndsAreNoEvidence
+	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
 	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
 mutant silent_store_connections_kept platform/store.go \
 	'			s.client.CloseIdleConnections()' '' platform TestSilentStoreConnectionsCostOneCall
 mutant silent_back_end_connections_kept platform/runner.go \
-	'			s.pool.discardIdle(attempt.Instance)' '' platform TestSilentBackEndConnectionsCostOneRequest
+	'			s.pool.discardIdle(attempt.Instance)' '' platform TestSilentBackendConnectionsCostOneRequest
 mutant hangup_ends_a_start cmd/topazpulley/main.go \
 	'	_ "topazpulley/internal/command/ignorehangup" // before what starts slowly' '' cmd/topazpulley TestHangupDoesNotEndAStartingDaemon
 mutant sleep_leaves_time internal/serving/exchange.go \
-	'time.Until(e.end) - e.core.Clock.SleptSince(e.arrived)' 'time.Until(e.end)' internal/serving TestBackEndsAreToldTheTimeThatIsLeftAfterASleep
+	'time.Until(e.end) - e.core.Clock.SleptSince(e.arrived)' 'time.Until(e.end)' internal/serving TestBackendsAreToldTheTimeThatIsLeftAfterASleep
 mutant old_time_told internal/serving/request.go \
 	'	if a.TimeLeft != nil {' '	if false {' internal/serving TestNothingIsSentForACallerThatLeftDuringASleep
 mutant asleep_timers_believed internal/boottime/deadline.go \
@@ -331,7 +331,7 @@
 mutant stored_items_not_checked internal/job/dispatch.go \
 	'	if waiting.malformed != nil {' '	if false {' internal/job TestStoredItemThatIsNoRequestIsGivenUp/path
 mutant readers_not_asked internal/job/attempt.go \
-	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackEndThatStandsStillReadsNoItemsOfEndedJobs
+	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackendThatStandsStillReadsNoItemsOfEndedJobs
 mutant hop_fields_passed_on platform/requests.go \
 	' && !options[field]' ' && !options[""]' platform TestProperHeadIsPassedOnAsItCame
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
