--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -19,9 +19,9 @@
 type Instance struct {
 	// ID is unique among backends. A process may start again under it.
 	ID string
-	// Born is the Unix millisecond at which the process started; 0 means not told.
-	Born    int64
-	Service string
+	// StartMillis is the Unix millisecond at which the process started; 0 means not told.
+	StartMillis int64
+	Service     string
 	// Address is IP:port.
 	Address string
 	Zone    string
@@ -86,8 +86,8 @@
 
 // PeerLoad is another daemon's work in flight at a backend.
 type PeerLoad struct {
-	// Born names the life of the backend at which the work is, as in Instance.
-	Born          int64
+	// StartMillis names the life of the backend at which the work is, as in Instance.
+	StartMillis   int64
 	Online        int
 	Batch         int
 	PendingTokens int
@@ -100,21 +100,21 @@
 // with it, and does not count beside work at a later one.
 func (l PeerLoad) Plus(other PeerLoad) PeerLoad {
 	switch {
-	case other.Born > l.Born:
+	case other.StartMillis > l.StartMillis:
 		return other
-	case other.Born < l.Born:
+	case other.StartMillis < l.StartMillis:
 		return l
 	}
-	return PeerLoad{Born: l.Born, Online: l.Online + other.Online, Batch: l.Batch + other.Batch, PendingTokens: l.PendingTokens + other.PendingTokens}
+	return PeerLoad{StartMillis: l.StartMillis, Online: l.Online + other.Online, Batch: l.Batch + other.Batch, PendingTokens: l.PendingTokens + other.PendingTokens}
 }
 
 // Minus returns the load less a part of it, which may be of an earlier life and is
 // then no part.
 func (l PeerLoad) Minus(part PeerLoad) PeerLoad {
-	if part.Born != l.Born {
+	if part.StartMillis != l.StartMillis {
 		return l
 	}
-	return PeerLoad{Born: l.Born, Online: l.Online - part.Online, Batch: l.Batch - part.Batch, PendingTokens: l.PendingTokens - part.PendingTokens}
+	return PeerLoad{StartMillis: l.StartMillis, Online: l.Online - part.Online, Batch: l.Batch - part.Batch, PendingTokens: l.PendingTokens - part.PendingTokens}
 }
 
 // Set is all backends that a daemon knows. It is safe for concurrent use.
@@ -126,7 +126,7 @@
 	births *births
 	reads  []Read
 	// untold are failures that the other daemons were not told yet.
-	untold map[Life]int
+	untold map[Incarnation]int
 	urgent chan struct{}
 	// crowded tells that online requests may wait for this daemon's items.
 	crowded chan struct{}
@@ -147,16 +147,16 @@
 	propagation time.Duration
 	closing     closing
 	// connected returns the lives to which an idle connection is open.
-	connected func() map[Life]bool
+	connected func() map[Incarnation]bool
 }
 
 // NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{
 		states: map[string]*state{}, byService: map[string][]*state{}, urgent: make(chan struct{}, 1), crowded: make(chan struct{}, 1),
-		untold: map[Life]int{}, births: newBirths(), waitingElsewhere: map[string]int{}, propagation: assumedPropagation,
+		untold: map[Incarnation]int{}, births: newBirths(), waitingElsewhere: map[string]int{}, propagation: assumedPropagation,
 		preemptions: make(chan string, preemptQueue), givingWay: make(chan string, preemptQueue),
-		connected: func() map[Life]bool { return nil }, closing: newClosing(),
+		connected: func() map[Incarnation]bool { return nil }, closing: newClosing(),
 		waits: map[string]*serviceWait{}, sumsElsewhere: map[string]map[string]waiting.Sums{},
 	}
 }
@@ -169,9 +169,9 @@
 	known := s.states[instance.ID]
 	listing := s.judge(known, instance)
 	switch listing {
-	case ListingLate:
+	case ListingStale:
 	case ListingSame:
-		instance.Born = known.Born
+		instance.StartMillis = known.StartMillis
 		s.update(known, instance)
 		known.noteCold(time.Now())
 	default:
@@ -189,7 +189,7 @@
 	if known == nil {
 		return judge(nil, newest, told)
 	}
-	return judge(&known.Instance, max(newest, known.Born), told)
+	return judge(&known.Instance, max(newest, known.StartMillis), told)
 }
 
 // update takes over what is told of a life that is known.
@@ -206,39 +206,39 @@
 // noteCold takes over for how long the backend's entry says that it is cold.
 func (k *state) noteCold(now time.Time) { k.coldUntil = now.Add(k.ColdFor) }
 
-// living returns a backend if its present life is the one named, else nil. mutex must
+// current returns a backend if its present life is the one named, else nil. mutex must
 // be held.
-func (s *Set) living(life Life) *state {
+func (s *Set) current(life Incarnation) *state {
 	known, exists := s.states[life.ID]
-	if !exists || known.Born != life.Born {
+	if !exists || known.StartMillis != life.StartMillis {
 		return nil
 	}
 	return known
 }
 
 // IsListed reports whether a life is a backend's present one.
-func (s *Set) IsListed(life Life) bool {
+func (s *Set) IsListed(life Incarnation) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.living(life) != nil
+	return s.current(life) != nil
 }
 
 // HasSuccessor reports whether a later life of the same backend was ever told.
-func (s *Set) HasSuccessor(life Life) bool {
+func (s *Set) HasSuccessor(life Incarnation) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	newest := s.births.newest(life.ID)
 	if known, exists := s.states[life.ID]; exists {
-		newest = max(newest, known.Born)
+		newest = max(newest, known.StartMillis)
 	}
-	return life.Born > 0 && newest > life.Born
+	return life.StartMillis > 0 && newest > life.StartMillis
 }
 
-// RemoveLife takes a backend out if its present life is the one named.
-func (s *Set) RemoveLife(life Life) {
+// RemoveIncarnation takes a backend out if its present life is the one named.
+func (s *Set) RemoveIncarnation(life Incarnation) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.living(life) != nil {
+	if s.current(life) != nil {
 		s.remove(life.ID)
 	}
 }
@@ -267,7 +267,7 @@
 		return
 	}
 	delete(s.states, id)
-	s.births.note(known.Life())
+	s.births.note(known.Incarnation())
 	s.takeOut(known)
 }
 
@@ -325,7 +325,7 @@
 
 // SetConnected sets the function that returns the lives of backends to which an idle
 // connection is open. It must be called before the set is used.
-func (s *Set) SetConnected(connected func() map[Life]bool) { s.connected = connected }
+func (s *Set) SetConnected(connected func() map[Incarnation]bool) { s.connected = connected }
 
 // Candidates returns a snapshot of a service's backends for routing.
 func (s *Set) Candidates(service string, prompt []routing.PromptPart, now time.Time) []routing.Candidate {
@@ -337,7 +337,7 @@
 	for _, known := range group {
 		candidate := known.candidate(prompt, now)
 		candidate.Closed = s.isClosed(known, now)
-		candidate.IsConnected = connected[known.Life()]
+		candidate.IsConnected = connected[known.Incarnation()]
 		candidates = append(candidates, candidate)
 	}
 	return candidates
@@ -350,7 +350,7 @@
 		waiting = k.report.Waiting
 	}
 	return routing.Candidate{
-		ID: k.ID, Born: k.Born, Zone: k.Zone, Slots: k.Slots,
+		ID: k.ID, StartMillis: k.StartMillis, Zone: k.Zone, Slots: k.Slots,
 		Online: online, Batch: batch, OwnBatch: k.batch, Waiting: waiting, ReportAge: now.Sub(k.reportedAt),
 		PendingTokens: pending, UncachedTokens: k.prompts.uncached(prompt, now),
 		Ejected: now.Before(k.ejectedUntil),
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -69,7 +69,7 @@
 		t.Fatal("a large prompt is urgent")
 	}
 	reads := set.TakeReads()
-	require.Equal(t, []backend.Read{{Life: backend.Life{ID: "a"}, Part: "shared"}}, reads)
+	require.Equal(t, []backend.Read{{Incarnation: backend.Incarnation{ID: "a"}, Part: "shared"}}, reads)
 	require.Empty(t, set.TakeReads())
 	require.Equal(t, 5100, candidate(t, other).UncachedTokens)
 	other.NoteReads(reads, time.Now())
@@ -82,12 +82,12 @@
 func TestFailuresEject(t *testing.T) {
 	set := newSet()
 	now := time.Now()
-	require.False(t, set.Failed(backend.Life{ID: "a"}, now))
-	require.True(t, set.Failed(backend.Life{ID: "a"}, now))
+	require.False(t, set.Failed(backend.Incarnation{ID: "a"}, now))
+	require.True(t, set.Failed(backend.Incarnation{ID: "a"}, now))
 	require.True(t, candidate(t, set).Ejected)
 	later := now.Add(1100 * time.Millisecond)
 	require.False(t, set.Candidates("s", nil, later)[0].Ejected)
-	set.Unreachable(backend.Life{ID: "a"}, later)
+	set.Unreachable(backend.Incarnation{ID: "a"}, later)
 	require.True(t, set.Candidates("s", nil, later.Add(1900*time.Millisecond))[0].Ejected, "longer the second time")
 	require.False(t, set.Candidates("s", nil, later.Add(time.Minute))[0].Ejected)
 }
@@ -98,15 +98,15 @@
 	sets := []*backend.Set{newSet(), newSet(), newSet(), newSet()}
 	now := time.Now()
 	for _, each := range sets[1:] {
-		require.False(t, each.Failed(backend.Life{ID: "a"}, now))
-		each.Succeeded(backend.Life{ID: "a"}, now)
+		require.False(t, each.Failed(backend.Incarnation{ID: "a"}, now))
+		each.Succeeded(backend.Incarnation{ID: "a"}, now)
 		sets[0].NoteFailures(each.TakeFailures(), now)
 		require.Empty(t, each.TakeFailures())
 	}
 	require.True(t, candidate(t, sets[0]).Ejected)
 	rare := newSet()
 	for second := range 20 {
-		rare.NoteFailures(map[backend.Life]int{{ID: "a"}: 1}, now.Add(time.Duration(second)*3*time.Second))
+		rare.NoteFailures(map[backend.Incarnation]int{{ID: "a"}: 1}, now.Add(time.Duration(second)*3*time.Second))
 		require.False(t, rare.Candidates("s", nil, now.Add(time.Duration(second)*3*time.Second))[0].Ejected)
 	}
 }
--- a/internal/backend/closed.go
+++ b/internal/backend/closed.go
@@ -9,7 +9,7 @@
 
 // Pacer returns how many requests this daemon may send in a turn to a cold backend that
 // bears so many a second.
-type Pacer func(life Life, perSecond float64, turn warmup.Turn) int
+type Pacer func(life Incarnation, perSecond float64, turn warmup.Turn) int
 
 // closing is what keeps new work from backends that discovery lists as usable: orders of
 // the operator for their zones, and the little that cold ones bear. Set.mutex guards it.
@@ -33,7 +33,7 @@
 	return closing{
 		evacuated: map[string]bool{}, reopened: map[string]time.Time{},
 		coldRates: func(string) float64 { return 0 },
-		pacer:     func(Life, float64, warmup.Turn) int { return 1 },
+		pacer:     func(Incarnation, float64, warmup.Turn) int { return 1 },
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	turn := warmup.TurnAt(now)
 	if known.seats.turn != turn {
-		known.seats = seatsTaken{turn: turn, seats: s.closing.pacer(known.Life(), perSecond, turn)}
+		known.seats = seatsTaken{turn: turn, seats: s.closing.pacer(known.Incarnation(), perSecond, turn)}
 	}
 	return known.seats.taken < known.seats.seats
 }
--- a/internal/backend/closed_test.go
+++ b/internal/backend/closed_test.go
@@ -38,7 +38,7 @@
 	require.False(t, isOpen(t, set, "a"))
 	require.False(t, isOpen(t, set, "c"))
 	require.True(t, isOpen(t, set, "b"))
-	_, isTaken := set.AcquireLife(backend.Life{ID: "a"}, backend.Online, nil)
+	_, isTaken := set.AcquireIncarnation(backend.Incarnation{ID: "a"}, backend.Online, nil)
 	require.False(t, isTaken)
 	require.False(t, set.IsEvacuated("s"))
 	require.Equal(t, 1, set.ServiceLoad("s", time.Now()).Backends)
@@ -56,7 +56,7 @@
 // pacedSet is a set in which this daemon may send a cold backend one request a turn.
 func pacedSet(perSecond float64) *backend.Set {
 	set := backend.NewSet()
-	set.SetPace(func(string) float64 { return perSecond }, func(backend.Life, float64, warmup.Turn) int { return 1 })
+	set.SetPace(func(string) float64 { return perSecond }, func(backend.Incarnation, float64, warmup.Turn) int { return 1 })
 	return set
 }
 
--- a/internal/backend/health.go
+++ b/internal/backend/health.go
@@ -42,10 +42,10 @@
 
 // Succeeded records that the backend worked. The time of its next ejection
 // starts anew once it has worked for a while.
-func (s *Set) Succeeded(life Life, now time.Time) {
+func (s *Set) Succeeded(life Incarnation, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.living(life)
+	known := s.current(life)
 	if known == nil {
 		return
 	}
@@ -57,10 +57,10 @@
 
 // Failed records that the backend failed a request, and reports whether it is
 // ejected now.
-func (s *Set) Failed(life Life, now time.Time) bool {
+func (s *Set) Failed(life Incarnation, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.living(life)
+	known := s.current(life)
 	if known == nil {
 		return false
 	}
@@ -74,30 +74,30 @@
 }
 
 // Unreachable ejects a backend at once: a connection to it could not be made.
-func (s *Set) Unreachable(life Life, now time.Time) {
+func (s *Set) Unreachable(life Incarnation, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known := s.living(life); known != nil {
+	if known := s.current(life); known != nil {
 		known.eject(now)
 	}
 }
 
 // TakeFailures returns the failures by life since the last call.
-func (s *Set) TakeFailures() map[Life]int {
+func (s *Set) TakeFailures() map[Incarnation]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	taken := s.untold
-	s.untold = map[Life]int{}
+	s.untold = map[Incarnation]int{}
 	return taken
 }
 
 // NoteFailures records failures that another daemon saw. Those of another life than
 // the present one tell nothing of it.
-func (s *Set) NoteFailures(failures map[Life]int, now time.Time) {
+func (s *Set) NoteFailures(failures map[Incarnation]int, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for life, count := range failures {
-		if known := s.living(life); known != nil {
+		if known := s.current(life); known != nil {
 			known.addFailures(count, now)
 		}
 	}
--- a/internal/backend/lease.go
+++ b/internal/backend/lease.go
@@ -31,13 +31,13 @@
 	return s.acquireOpen(known, class, prompt)
 }
 
-// AcquireLife is Acquire for a request that is bound to one life of a backend, by a
+// AcquireIncarnation is Acquire for a request that is bound to one life of a backend, by a
 // place that was set aside there. It reports false when that life has ended,
 // or gets no new work now.
-func (s *Set) AcquireLife(life Life, class Class, prompt []routing.PromptPart) (*Lease, bool) {
+func (s *Set) AcquireIncarnation(life Incarnation, class Class, prompt []routing.PromptPart) (*Lease, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.living(life)
+	known := s.current(life)
 	if known == nil {
 		return nil, false
 	}
@@ -148,10 +148,10 @@
 }
 
 // Reported records the load that a life of a backend told.
-func (s *Set) Reported(life Life, report Report, now time.Time) {
+func (s *Set) Reported(life Incarnation, report Report, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.living(life)
+	known := s.current(life)
 	if known == nil {
 		return
 	}
@@ -165,7 +165,7 @@
 	defer s.mutex.Unlock()
 	loads := map[string]PeerLoad{}
 	for id, known := range s.states {
-		own := PeerLoad{Born: known.Born, Online: known.online, Batch: known.batch, PendingTokens: known.pendingTokens}
+		own := PeerLoad{StartMillis: known.StartMillis, Online: known.online, Batch: known.batch, PendingTokens: known.pendingTokens}
 		if !own.IsIdle() {
 			loads[id] = own
 		}
@@ -187,7 +187,7 @@
 	}
 	for id, known := range s.states {
 		load, tells := loads[id]
-		if !tells || load.Born != known.Born {
+		if !tells || load.StartMillis != known.StartMillis {
 			delete(known.peers, peer)
 			continue
 		}
--- a/internal/backend/life.go
+++ b/internal/backend/life.go
@@ -2,29 +2,29 @@
 
 import "strconv"
 
-// Life is one run of a backend's process, from its start to its end. All that is
+// Incarnation is one run of a backend's process, from its start to its end. All that is
 // learned of a backend is learned of a life: a process that starts again under its
 // id holds and knows nothing of the one before.
-type Life struct {
+type Incarnation struct {
 	// ID is the backend's id.
 	ID string
-	// Born is the Unix millisecond of the start; 0 means not told.
-	Born int64
+	// StartMillis is the Unix millisecond of the start; 0 means not told.
+	StartMillis int64
 }
 
 // String names the life in logs and in rows: the id alone where no birth is told.
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartMillis == 0 {
 		return l.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.Born, decimal)
+	return l.ID + "@" + strconv.FormatInt(l.StartMillis, decimal)
 }
 
 // decimal is the base of numbers in text.
 const decimal = 10
 
-// Life returns the life of which the instance is told.
-func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
+// Incarnation returns the life of which the instance is told.
+func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, StartMillis: i.StartMillis} }
 
 // Listing is what an entry of discovery changes.
 type Listing uint8
@@ -35,10 +35,10 @@
 	ListingNew Listing = iota
 	// ListingSame tells more of the life that is known.
 	ListingSame
-	// ListingReborn ends the life that is known: its process has started again.
-	ListingReborn
-	// ListingLate is a word of an earlier life, and changes nothing.
-	ListingLate
+	// ListingRestarted ends the life that is known: its process has started again.
+	ListingRestarted
+	// ListingStale is a word of an earlier life, and changes nothing.
+	ListingStale
 )
 
 // String names the listing in logs.
@@ -48,9 +48,9 @@
 		return "new"
 	case ListingSame:
 		return "same"
-	case ListingReborn:
+	case ListingRestarted:
 		return "reborn"
-	case ListingLate:
+	case ListingStale:
 		return "late"
 	}
 	return "unknown"
@@ -65,17 +65,17 @@
 // none that can be told.
 func judge(known *Instance, newest int64, told Instance) Listing {
 	switch {
-	case told.Born == 0 && newest > 0:
+	case told.StartMillis == 0 && newest > 0:
 		if known != nil && known.Address == told.Address && known.Service == told.Service {
 			return ListingSame
 		}
-		return ListingLate
-	case told.Born < newest:
-		return ListingLate
+		return ListingStale
+	case told.StartMillis < newest:
+		return ListingStale
 	case known == nil:
 		return ListingNew
-	case told.Born != known.Born:
-		return ListingReborn
+	case told.StartMillis != known.StartMillis:
+		return ListingRestarted
 	}
 	return ListingSame
 }
@@ -94,14 +94,14 @@
 
 // note remembers the birth of a backend that is gone. One that told none is not
 // remembered.
-func (b *births) note(gone Life) {
-	if gone.Born == 0 || gone.Born < b.newest(gone.ID) {
+func (b *births) note(gone Incarnation) {
+	if gone.StartMillis == 0 || gone.StartMillis < b.newest(gone.ID) {
 		return
 	}
 	if len(b.newer) >= maxBirths {
 		b.older, b.newer = b.newer, map[string]int64{}
 	}
-	b.newer[gone.ID] = gone.Born
+	b.newer[gone.ID] = gone.StartMillis
 }
 
 // newest returns the latest birth that is remembered for an id, or 0.
--- a/internal/backend/life_test.go
+++ b/internal/backend/life_test.go
@@ -14,7 +14,7 @@
 
 // reborn is a backend at a birth.
 func reborn(born int64) Instance {
-	return Instance{ID: "one", Born: born, Service: "s", Address: "127.0.0.1:1", Slots: 4}
+	return Instance{ID: "one", StartMillis: born, Service: "s", Address: "127.0.0.1:1", Slots: 4}
 }
 
 // only returns the one candidate of the test's service.
@@ -30,10 +30,10 @@
 	set, now := NewSet(), time.Now()
 	prompt := []routing.PromptPart{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 10}}
 	require.Equal(t, ListingNew, set.Put(reborn(1)))
-	old := reborn(1).Life()
+	old := reborn(1).Incarnation()
 	lease, found := set.Acquire("one", Online, prompt)
 	require.True(t, found)
-	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {Born: 1, Online: 2, Batch: 1, PendingTokens: 7}}, 0)
+	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {StartMillis: 1, Online: 2, Batch: 1, PendingTokens: 7}}, 0)
 	set.Reported(old, Report{Waiting: 5}, now)
 	set.Unreachable(old, now)
 	before := only(t, set, prompt)
@@ -42,16 +42,16 @@
 	require.True(t, before.Ejected)
 	require.Equal(t, 10, before.UncachedTokens)
 
-	require.Equal(t, ListingReborn, set.Put(reborn(2)))
+	require.Equal(t, ListingRestarted, set.Put(reborn(2)))
 	after := only(t, set, prompt)
 	after.ReportAge = 0
-	require.Equal(t, routing.Candidate{ID: "one", Born: 2, Slots: 4, UncachedTokens: 110}, after)
+	require.Equal(t, routing.Candidate{ID: "one", StartMillis: 2, Slots: 4, UncachedTokens: 110}, after)
 	require.Empty(t, set.OwnLoads())
 	lease.Started()
 	lease.Release()
 	require.Zero(t, only(t, set, prompt).Online, "a lease of the life before counts nothing")
 	require.Zero(t, only(t, set, prompt).PendingTokens)
-	require.EqualValues(t, 1, lease.Instance().Born)
+	require.EqualValues(t, 1, lease.Instance().StartMillis)
 }
 
 // TestLateWordsOfALifeThatHasEnded: whatever is still said of it changes nothing.
@@ -60,25 +60,25 @@
 	prompt := []routing.PromptPart{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 10}}
 	set.Put(reborn(1))
 	set.Put(reborn(2))
-	old := reborn(1).Life()
+	old := reborn(1).Incarnation()
 	set.Unreachable(old, now)
 	for range failuresToEject + scoreToEject {
 		require.False(t, set.Failed(old, now))
 	}
 	require.Empty(t, set.TakeFailures())
-	set.NoteFailures(map[Life]int{old: 9}, now)
-	set.NoteReads([]Read{{Life: old, Part: "shared"}}, now)
+	set.NoteFailures(map[Incarnation]int{old: 9}, now)
+	set.NoteReads([]Read{{Incarnation: old, Part: "shared"}}, now)
 	set.Reported(old, Report{Waiting: 5}, now)
-	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {Born: 1, Online: 2}}, 0)
-	set.RemoveLife(old)
-	_, found := set.AcquireLife(old, Online, nil)
+	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {StartMillis: 1, Online: 2}}, 0)
+	set.RemoveIncarnation(old)
+	_, found := set.AcquireIncarnation(old, Online, nil)
 	require.False(t, found)
 	require.False(t, set.IsListed(old))
 	require.True(t, set.HasSuccessor(old))
-	require.Equal(t, ListingLate, set.Put(reborn(1)))
+	require.Equal(t, ListingStale, set.Put(reborn(1)))
 	left := only(t, set, prompt)
 	left.ReportAge = 0
-	require.Equal(t, routing.Candidate{ID: "one", Born: 2, Slots: 4, UncachedTokens: 110}, left)
+	require.Equal(t, routing.Candidate{ID: "one", StartMillis: 2, Slots: 4, UncachedTokens: 110}, left)
 }
 
 // TestBirthsOnlyRiseOverAnAbsence: an entry that went and comes back in an older
@@ -87,8 +87,8 @@
 	set := NewSet()
 	set.Put(reborn(2))
 	set.Remove("one")
-	require.Equal(t, ListingLate, set.Put(reborn(1)))
-	require.Equal(t, ListingLate, set.Put(reborn(0)))
+	require.Equal(t, ListingStale, set.Put(reborn(1)))
+	require.Equal(t, ListingStale, set.Put(reborn(0)))
 	require.Zero(t, set.Count("s"))
 	require.Equal(t, ListingNew, set.Put(reborn(2)), "its entry had lapsed")
 	require.Equal(t, 1, set.Count("s"))
@@ -103,10 +103,10 @@
 	require.Equal(t, ListingSame, set.Put(leaving))
 	got, _ := set.Get("one")
 	require.True(t, got.Draining)
-	require.EqualValues(t, 2, got.Born)
+	require.EqualValues(t, 2, got.StartMillis)
 	elsewhere := reborn(0)
 	elsewhere.Address = "127.0.0.1:2"
-	require.Equal(t, ListingLate, set.Put(elsewhere))
+	require.Equal(t, ListingStale, set.Put(elsewhere))
 	got, _ = set.Get("one")
 	require.Equal(t, "127.0.0.1:1", got.Address)
 }
@@ -121,14 +121,14 @@
 	require.Equal(t, 1, only(t, set, nil).Online)
 	set.Remove("one")
 	require.Equal(t, ListingNew, set.Put(reborn(0)))
-	require.Equal(t, ListingReborn, set.Put(reborn(3)), "whether it is the same process cannot be told")
+	require.Equal(t, ListingRestarted, set.Put(reborn(3)), "whether it is the same process cannot be told")
 }
 
 // TestBirthsThatAreRememberedAreBounded.
 func TestBirthsThatAreRememberedAreBounded(t *testing.T) {
 	remembered := newBirths()
 	for index := range 3 * maxBirths {
-		remembered.note(Life{ID: strconv.Itoa(index), Born: 1})
+		remembered.note(Incarnation{ID: strconv.Itoa(index), StartMillis: 1})
 	}
 	require.LessOrEqual(t, len(remembered.newer)+len(remembered.older), 2*maxBirths)
 	require.EqualValues(t, 1, remembered.newest(strconv.Itoa(3*maxBirths-1)))
@@ -136,13 +136,13 @@
 
 // TestWorkAtTwoLivesIsNotAdded: the sum of what daemons tell is of the latest.
 func TestWorkAtTwoLivesIsNotAdded(t *testing.T) {
-	old, young := PeerLoad{Born: 1, Online: 3, Batch: 1}, PeerLoad{Born: 2, Online: 1, PendingTokens: 5}
+	old, young := PeerLoad{StartMillis: 1, Online: 3, Batch: 1}, PeerLoad{StartMillis: 2, Online: 1, PendingTokens: 5}
 	require.Equal(t, young, old.Plus(young))
 	require.Equal(t, young, young.Plus(old))
 	require.Equal(t, young, young.Minus(old))
-	require.Equal(t, PeerLoad{Born: 2}, young.Minus(young))
+	require.Equal(t, PeerLoad{StartMillis: 2}, young.Minus(young))
 	require.True(t, young.Minus(young).IsIdle())
-	require.Equal(t, PeerLoad{Born: 2, Online: 2, PendingTokens: 10}, young.Plus(young))
+	require.Equal(t, PeerLoad{StartMillis: 2, Online: 2, PendingTokens: 10}, young.Plus(young))
 }
 
 // lifeModel is what must hold whatever order words come in: the latest birth of the
@@ -175,12 +175,12 @@
 
 func (m *lifeModel) word(t *rapid.T) {
 	born := rapid.Int64Range(1, 4).Draw(t, "born")
-	life := reborn(born).Life()
+	life := reborn(born).Incarnation()
 	switch rapid.IntRange(0, 6).Draw(t, "word") {
 	case 0:
 		m.put(born)
 	case 1:
-		if lease, found := m.set.AcquireLife(life, Online, nil); found {
+		if lease, found := m.set.AcquireIncarnation(life, Online, nil); found {
 			m.leases = append(m.leases, heldLease{lease: lease})
 		}
 	case 2:
@@ -190,9 +190,9 @@
 			m.leases = slices.Delete(m.leases, at, at+1)
 		}
 	case 3:
-		m.tell(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer"), PeerLoad{Born: born, Online: rapid.IntRange(1, 3).Draw(t, "online")})
+		m.tell(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer"), PeerLoad{StartMillis: born, Online: rapid.IntRange(1, 3).Draw(t, "online")})
 	case 4:
-		m.set.RemoveLife(life)
+		m.set.RemoveIncarnation(life)
 		if m.listed == born {
 			m.forget()
 		}
@@ -231,7 +231,7 @@
 func (m *lifeModel) tell(peer string, load PeerLoad) {
 	m.set.SetPeerLoads(peer, map[string]PeerLoad{"one": load}, 0)
 	delete(m.peers, peer)
-	if load.Born == m.listed {
+	if load.StartMillis == m.listed {
 		m.peers[peer] = load
 	}
 }
@@ -239,12 +239,12 @@
 func (m *lifeModel) check(t *rapid.T) {
 	got, isListed := m.set.Get("one")
 	if len(m.births) > 0 {
-		require.True(t, !isListed || got.Born == slices.Max(m.births), "the latest birth wins")
+		require.True(t, !isListed || got.StartMillis == slices.Max(m.births), "the latest birth wins")
 	}
 	if !isListed {
 		return
 	}
-	require.Equal(t, m.listed, got.Born)
+	require.Equal(t, m.listed, got.StartMillis)
 	online := 0
 	for _, held := range m.leases {
 		if !held.isEnded {
--- a/internal/backend/prompts.go
+++ b/internal/backend/prompts.go
@@ -23,8 +23,8 @@
 
 // Read tells that a backend reads a part of a prompt.
 type Read struct {
-	Life Life
-	Part string
+	Incarnation Incarnation
+	Part        string
 }
 
 // promptCache remembers the prompt parts that a backend read lately. It is a
@@ -87,7 +87,7 @@
 		part := prompt[index]
 		known.prompts.touch(part.ID, now)
 		if part.Tokens >= sharedTokens && len(s.reads) < readQueue {
-			s.reads = append(s.reads, Read{Life: known.Life(), Part: part.ID})
+			s.reads = append(s.reads, Read{Incarnation: known.Incarnation(), Part: part.ID})
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, read := range reads {
-		if known := s.living(read.Life); known != nil {
+		if known := s.current(read.Incarnation); known != nil {
 			known.prompts.touch(read.Part, now)
 		}
 	}
--- a/internal/backend/serviceload_test.go
+++ b/internal/backend/serviceload_test.go
@@ -16,7 +16,7 @@
 	set.Put(Instance{ID: "leaving", Service: "s", Slots: 4, Draining: true})
 	set.Put(Instance{ID: "unreachable", Service: "s", Slots: 4})
 	set.Put(Instance{ID: "other", Service: "t", Slots: 4})
-	set.Unreachable(Life{ID: "unreachable"}, now)
+	set.Unreachable(Incarnation{ID: "unreachable"}, now)
 	set.SetPeerLoads("d1", map[string]PeerLoad{"a": {Online: 7, Batch: 2}, "b": {Online: 1, Batch: 1}, "leaving": {Online: 2}}, 0)
 	_, found := set.Acquire("b", Batch, nil)
 	require.True(t, found)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -85,7 +85,7 @@
 	lease.Release()
 	require.Eventually(t, func() bool { return second.seen().Online == 0 && second.seen().Batch == 1 }, patience, pollTime)
 	for range 4 {
-		first.backends.Failed(backend.Life{ID: "one"}, time.Now())
+		first.backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	}
 	require.Eventually(t, func() bool { return second.seen().Ejected }, patience, pollTime)
 	first.cancel()
@@ -120,10 +120,10 @@
 			return each.seen().Online == total && each.backends.WaitingElsewhere() == total-index
 		}, patience, pollTime, "daemon %d", index)
 	}
-	daemons[5].backends.Failed(backend.Life{ID: "one"}, time.Now())
-	daemons[5].backends.Failed(backend.Life{ID: "one"}, time.Now())
+	daemons[5].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
+	daemons[5].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	for range 2 {
-		daemons[4].backends.Failed(backend.Life{ID: "one"}, time.Now())
+		daemons[4].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	}
 	for index, each := range daemons {
 		require.Eventually(t, func() bool { return each.seen().Ejected }, patience, pollTime, "daemon %d", index)
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -50,7 +50,7 @@
 // of backends.
 type news struct {
 	reads    []backend.Read
-	failures map[backend.Life]int
+	failures map[backend.Incarnation]int
 }
 
 func (n news) isEmpty() bool { return len(n.reads) == 0 && len(n.failures) == 0 }
@@ -62,7 +62,7 @@
 	n.reads = append(n.reads, other.reads[:min(room, len(other.reads))]...)
 	for life, count := range other.failures {
 		if n.failures == nil {
-			n.failures = map[backend.Life]int{}
+			n.failures = map[backend.Incarnation]int{}
 		}
 		n.failures[life] += count
 	}
@@ -118,13 +118,13 @@
 		if load.IsIdle() {
 			continue
 		}
-		message.Backends = append(message.Backends, backendLoad{ID: id, Born: load.Born, Online: load.Online, Batch: load.Batch, Pending: load.PendingTokens})
+		message.Backends = append(message.Backends, backendLoad{ID: id, Born: load.StartMillis, Online: load.Online, Batch: load.Batch, Pending: load.PendingTokens})
 	}
 	for _, read := range told.reads {
-		message.Reads = append(message.Reads, readRecord{Backend: read.Life.ID, Born: read.Life.Born, Part: read.Part})
+		message.Reads = append(message.Reads, readRecord{Backend: read.Incarnation.ID, Born: read.Incarnation.StartMillis, Part: read.Part})
 	}
 	for life, count := range told.failures {
-		message.Failures = append(message.Failures, failureRecord{Backend: life.ID, Born: life.Born, Count: count})
+		message.Failures = append(message.Failures, failureRecord{Backend: life.ID, Born: life.StartMillis, Count: count})
 	}
 	payload, err := avro.Marshal(loadSchema, message)
 	return payload, errors.WithStack(err)
@@ -137,14 +137,14 @@
 	}
 	work := loads{inFlight: make(map[string]backend.PeerLoad, len(message.Backends)), waiting: message.Waiting, sums: sumsOf(message.Sums)}
 	for _, each := range message.Backends {
-		work.inFlight[each.ID] = backend.PeerLoad{Born: each.Born, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
+		work.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.Born, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
 	}
-	told := news{reads: make([]backend.Read, 0, len(message.Reads)), failures: make(map[backend.Life]int, len(message.Failures))}
+	told := news{reads: make([]backend.Read, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
 	for _, each := range message.Reads {
-		told.reads = append(told.reads, backend.Read{Life: backend.Life{ID: each.Backend, Born: each.Born}, Part: each.Part})
+		told.reads = append(told.reads, backend.Read{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.Born}, Part: each.Part})
 	}
 	for _, each := range message.Failures {
-		told.failures[backend.Life{ID: each.Backend, Born: each.Born}] += each.Count
+		told.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.Born}] += each.Count
 	}
 	return work, told, nil
 }
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -66,14 +66,14 @@
 // other zones.
 func TestNewsAreToldOnceAndNeverBack(t *testing.T) {
 	gathered, now := newRelay(), time.Now()
-	told := news{reads: []backend.Read{{Life: backend.Life{ID: "one"}, Part: "p"}}, failures: map[backend.Life]int{{ID: "one"}: 2}}
+	told := news{reads: []backend.Read{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
 	gathered.noteMember("a", work(1), told, now)
 	gathered.noteMember("a", work(2), told, now)
 	gathered.noteZone("far", work(1), told, now)
 	pending := gathered.takeNews()
-	require.Equal(t, 4+2, pending.forMember("b").failures[backend.Life{ID: "one"}])
-	require.Equal(t, 2, pending.forMember("a").failures[backend.Life{ID: "one"}])
-	require.Equal(t, 4, pending.forZones().failures[backend.Life{ID: "one"}])
+	require.Equal(t, 4+2, pending.forMember("b").failures[backend.Incarnation{ID: "one"}])
+	require.Equal(t, 2, pending.forMember("a").failures[backend.Incarnation{ID: "one"}])
+	require.Equal(t, 4, pending.forZones().failures[backend.Incarnation{ID: "one"}])
 	require.True(t, gathered.takeNews().forMember("b").isEmpty())
 }
 
@@ -135,7 +135,7 @@
 // TestLoadsSurviveTheWire.
 func TestLoadsSurviveTheWire(t *testing.T) {
 	sent := loads{inFlight: map[string]backend.PeerLoad{"one": {Online: 1, Batch: 2, PendingTokens: 3}, "idle": {}}, waiting: 7}
-	told := news{reads: []backend.Read{{Life: backend.Life{ID: "one"}, Part: "p"}}, failures: map[backend.Life]int{{ID: "one"}: 2}}
+	told := news{reads: []backend.Read{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
 	payload, err := encode(sent, told)
 	require.NoError(t, err)
 	got, gotNews, err := decode(payload)
--- a/internal/frontend/consumers.go
+++ b/internal/frontend/consumers.go
@@ -136,14 +136,14 @@
 	}
 	before, wasListed := c.backends.Get(row.Key)
 	listing := c.backends.Put(instance)
-	if listing != backend.ListingLate {
+	if listing != backend.ListingStale {
 		c.found(row.Key)
 	}
 	c.metrics.Listings.WithLabelValues(listing.String()).Inc()
 	if c.isBulk || (wasListed && before == instance) {
 		return // one line tells of all, or it was read again
 	}
-	c.log.Info("backend_listed", "backend", instance.ID, "born", instance.Born, "change", listing.String(), "service", instance.Service, "is_named", c.isNamed(instance.Service), "address", instance.Address, "zone", instance.Zone,
+	c.log.Info("backend_listed", "backend", instance.ID, "born", instance.StartMillis, "change", listing.String(), "service", instance.Service, "is_named", c.isNamed(instance.Service), "address", instance.Address, "zone", instance.Zone,
 		"slots", instance.Slots, "draining", instance.Draining, "cold_ms", instance.ColdFor.Milliseconds(), "row_version", row.Version)
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -226,7 +226,7 @@
 // started may know a few of the others only, and would take their parts too; it sends
 // cold backends nothing until it is settled.
 func coldPacer(node *cluster.Node, settledAt time.Time) backend.Pacer {
-	return func(life backend.Life, perSecond float64, turn warmup.Turn) int {
+	return func(life backend.Incarnation, perSecond float64, turn warmup.Turn) int {
 		if time.Now().Before(settledAt) {
 			return 0
 		}
--- a/internal/frontend/unreadable.go
+++ b/internal/frontend/unreadable.go
@@ -73,7 +73,7 @@
 // checkBirth refuses an entry whose process has yet to start. Births of an id only rise,
 // so one that lies ahead would keep the backend's own entries out until then.
 func checkBirth(instance backend.Instance, now time.Time) error {
-	if instance.Born > now.Add(birthLead).UnixMilli() {
+	if instance.StartMillis > now.Add(birthLead).UnixMilli() {
 		return failure.New(failure.KindInvalid, "bad_birth", "the entry of back end %s tells a birth that is ahead", instance.ID)
 	}
 	return nil
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -48,7 +48,7 @@
 	if err == nil {
 		defer answer.Close()
 		if report, told := answer.Load(); told {
-			s.backends.Reported(instance.Life(), report, time.Now())
+			s.backends.Reported(instance.Incarnation(), report, time.Now())
 		}
 		err = s.readItem(running, answer, lease, watched)
 	}
@@ -98,7 +98,7 @@
 	for {
 		event, err := answer.Next()
 		if errors.Is(err, io.EOF) {
-			s.backends.Succeeded(lease.Instance().Life(), time.Now())
+			s.backends.Succeeded(lease.Instance().Incarnation(), time.Now())
 			s.metrics.Items.WithLabelValues(string(StateCompleted)).Inc()
 			s.noteItemTime(running)
 			s.log.Info("item_completed", "job", running.owner.job.ID, "item", running.item.ID, "backend", lease.Instance().ID,
@@ -157,7 +157,7 @@
 		// The item may be at fault; other work tells whether the backend is.
 		running.progress.fail()
 	} else {
-		serving.RecordFailure(s.backends, instance.Life(), failed.Reason, time.Now())
+		serving.RecordFailure(s.backends, instance.Incarnation(), failed.Reason, time.Now())
 	}
 	s.metrics.Items.WithLabelValues(failed.Outcome.String()).Inc()
 	s.log.Info("item_attempt_failed", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID, "outcome", failed.Outcome.String(),
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -17,11 +17,11 @@
 // Candidate is a snapshot of one backend for one request.
 type Candidate struct {
 	ID string
-	// Born is the start of the backend's process as it told it, or 0: a place that it
+	// StartMillis is the start of the backend's process as it told it, or 0: a place that it
 	// set aside is held against it, for a process that starts again has none.
-	Born  int64
-	Zone  string
-	Slots int
+	StartMillis int64
+	Zone        string
+	Slots       int
 	// Closed backends get no new work and are never chosen: they leave, their zone is
 	// evacuated, or they are cold and bear no more now.
 	Closed bool
--- a/internal/serving/await.go
+++ b/internal/serving/await.go
@@ -188,11 +188,11 @@
 	if err := Reserve(ctx, e.core.Sender, e.core.Holder.Current(), &attempt, e.request.Tokens); err != nil {
 		e.noteUnplaced()
 		if reason := attemptError(err).Reason; reason != ReasonRefused && ctx.Err() == nil {
-			RecordFailure(e.core.Backends, instance.Life(), reason, time.Now())
+			RecordFailure(e.core.Backends, instance.Incarnation(), reason, time.Now())
 		}
 		return false
 	}
-	chosen.Born = instance.Born // it may have started again since it was chosen
+	chosen.StartMillis = instance.StartMillis // it may have started again since it was chosen
 	e.held = heldPlace{candidate: chosen, name: attempt.Place}
 	return attempt.Place != ""
 }
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -136,7 +136,7 @@
 		return e.core.choose(&e.request, e.excluded, e.allowedPreemption())
 	}
 	candidate := e.held.candidate
-	lease, found := e.core.Backends.AcquireLife(backend.Life{ID: candidate.ID, Born: candidate.Born}, backend.Online, e.request.Prompt)
+	lease, found := e.core.Backends.AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, backend.Online, e.request.Prompt)
 	if !found {
 		e.held = heldPlace{} // the backend left with the place, or started again without it
 	}
@@ -218,7 +218,7 @@
 	}
 	defer answer.Close()
 	if report, told := answer.Load(); told {
-		e.core.Backends.Reported(e.last.Life(), report, time.Now())
+		e.core.Backends.Reported(e.last.Incarnation(), report, time.Now())
 	}
 	if answer.Head().Events && answer.Head().Successful() {
 		err = e.relay(answer, lease, watched)
@@ -249,21 +249,21 @@
 	if e.caller.Err() != nil {
 		return
 	}
-	RecordFailure(e.core.Backends, e.last.Life(), failed.Reason, time.Now())
+	RecordFailure(e.core.Backends, e.last.Incarnation(), failed.Reason, time.Now())
 	e.core.Metrics.Attempts.WithLabelValues(failed.Outcome.String(), string(failed.Reason)).Inc()
 	e.core.Logger.Info("attempt_failed", "id", e.request.ID, "backend", e.last.ID, "outcome", failed.Outcome.String(),
 		"reason", string(failed.Reason), "cause", failed.Cause, "last_event", e.lastEvent, "fingerprint", e.fingerprint.String())
 }
 
 // RecordFailure records a failed attempt against the backend's health.
-func RecordFailure(backends *backend.Set, life backend.Life, reason Reason, now time.Time) {
+func RecordFailure(backends *backend.Set, life backend.Incarnation, reason Reason, now time.Time) {
 	switch reason {
 	case ReasonUnreachable:
 		backends.Unreachable(life, now)
 	case ReasonBroken, ReasonSpoiled, ReasonSilent, ReasonError:
 		backends.Failed(life, now)
 	case ReasonOtherInstance:
-		backends.RemoveLife(life)
+		backends.RemoveIncarnation(life)
 	}
 }
 
@@ -312,5 +312,5 @@
 	if failed.Reason != ReasonBroken {
 		return true
 	}
-	return e.core.Backends.IsListed(e.last.Life())
+	return e.core.Backends.IsListed(e.last.Incarnation())
 }
--- a/internal/serving/guarded.go
+++ b/internal/serving/guarded.go
@@ -38,7 +38,7 @@
 	// mutex guards broken: the runs that broke at lives of backends about which it is
 	// being found out whether they have ended.
 	mutex  sync.Mutex
-	broken map[backend.Life][]quarantine.Run
+	broken map[backend.Incarnation][]quarantine.Run
 }
 
 var (
@@ -48,7 +48,7 @@
 
 // NewGuardedSender returns a sender that asks the guard.
 func NewGuardedSender(sender Sender, guard *quarantine.Guard, backends *backend.Set, log *slog.Logger) *GuardedSender {
-	return &GuardedSender{sender: sender, guard: guard, backends: backends, log: log, broken: map[backend.Life][]quarantine.Run{}}
+	return &GuardedSender{sender: sender, guard: guard, backends: backends, log: log, broken: map[backend.Incarnation][]quarantine.Run{}}
 }
 
 // Send implements Sender.
@@ -93,7 +93,7 @@
 	if !canCheck {
 		return
 	}
-	life := attempt.Instance.Life()
+	life := attempt.Instance.Incarnation()
 	s.mutex.Lock()
 	_, isBeingChecked := s.broken[life]
 	s.broken[life] = append(s.broken[life], quarantine.Run{Fingerprint: attempt.Fingerprint, HadOutput: hadOutput})
@@ -106,7 +106,7 @@
 // check finds out whether a backend has ended, and if so tells the guard what
 // was in flight there.
 func (s *GuardedSender) check(checker LiveChecker, attempt Attempt) {
-	started, life := time.Now(), attempt.Instance.Life()
+	started, life := time.Now(), attempt.Instance.Incarnation()
 	time.Sleep(gatherTime)
 	bounded, cancel := context.WithTimeout(context.Background(), quarantine.LiveCheckTimeout)
 	defer cancel()
@@ -116,7 +116,7 @@
 	runs := s.broken[life]
 	delete(s.broken, life)
 	s.mutex.Unlock()
-	s.log.Info("backend_checked", "backend", life.ID, "born", life.Born, "has_ended", hasEnded, "runs", len(runs), "took_ms", time.Since(started).Milliseconds())
+	s.log.Info("backend_checked", "backend", life.ID, "born", life.StartMillis, "has_ended", hasEnded, "runs", len(runs), "took_ms", time.Since(started).Milliseconds())
 	if !hasEnded {
 		return
 	}
--- a/internal/serving/lives_test.go
+++ b/internal/serving/lives_test.go
@@ -28,7 +28,7 @@
 	if err == nil && s.reborn == "" {
 		s.reborn = wanted.Instance.ID
 		again := wanted.Instance
-		again.Born++
+		again.StartMillis++
 		s.core.Backends.Put(again)
 		s.script.place = ""
 	}
@@ -43,7 +43,7 @@
 	sender := &rebornScript{script: &script{ran: map[string]bool{}, lastSeen: caller, refusals: []serving.Reason{serving.ReasonRefused, serving.ReasonRefused, serving.ReasonRefused}}}
 	sender.core = newCore(sender)
 	for _, each := range sender.core.Backends.Instances("s") {
-		each.Born = 1
+		each.StartMillis = 1
 		sender.core.Backends.Put(each)
 	}
 	sender.core.Holder.Apply(withPlaces(), time.Now())
@@ -75,11 +75,11 @@
 		for life := range int64(quarantinePolicy.Crashes) {
 			_, isHeld := guard.Verdict(culprit)
 			require.False(t, isHeld)
-			living := backend.Instance{ID: "b", Born: life + 1, Service: "s", Slots: 4}
+			living := backend.Instance{ID: "b", StartMillis: life + 1, Service: "s", Slots: 4}
 			backends.Put(living)
 			_, err := guarded.Send(t.Context(), serving.Attempt{Fingerprint: culprit, Instance: living, Remaining: time.Second})
 			require.Error(t, err)
-			living.Born++
+			living.StartMillis++
 			backends.Put(living)
 			time.Sleep(time.Second)
 		}
@@ -94,7 +94,7 @@
 		guard, backends := newGuard(), backend.NewSet()
 		guarded := serving.NewGuardedSender(&crashing{}, guard, backends, slog.New(slog.DiscardHandler))
 		suspect := quarantine.FingerprintOf("POST", "/suspect", "", nil)
-		living := backend.Instance{ID: "b", Born: 7, Service: "s", Slots: 4}
+		living := backend.Instance{ID: "b", StartMillis: 7, Service: "s", Slots: 4}
 		backends.Put(living)
 		for range 2 * quarantinePolicy.Crashes {
 			_, err := guarded.Send(t.Context(), serving.Attempt{Fingerprint: suspect, Instance: living, Remaining: time.Second})
--- a/internal/serving/origin.go
+++ b/internal/serving/origin.go
@@ -30,7 +30,7 @@
 // all is over, or never where the process ends before. There are at most maxSends lines
 // a request; in a fault soak 1,510 for 1,550 requests, of 195 bytes in the mean.
 func (e *exchange) noteSent(attempt *Attempt) {
-	e.core.Logger.Info("request_sent", "id", e.request.ID, "backend", attempt.Instance.ID, "born", attempt.Instance.Born, "attempt", e.sends,
+	e.core.Logger.Info("request_sent", "id", e.request.ID, "backend", attempt.Instance.ID, "born", attempt.Instance.StartMillis, "attempt", e.sends,
 		"kind", string(KindOfSend(e.sends, attempt.LastEvent)), "caller", e.request.Caller, "tenant", attempt.Tenant,
 		"route", e.request.Route.Name, "last_event", attempt.LastEvent, "place", attempt.Place)
 }
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -29,7 +29,7 @@
 	}
 	e.runs++
 	if head.Successful() {
-		e.core.Backends.Succeeded(e.last.Life(), time.Now())
+		e.core.Backends.Succeeded(e.last.Incarnation(), time.Now())
 		e.noteAnswered(silence.KindWhole)
 	}
 	e.firstAt = time.Now()
@@ -38,7 +38,7 @@
 		e.outcome = "failure_passed_on"
 	}
 	if isBackendFault(head.Status) {
-		e.core.Backends.Failed(e.last.Life(), time.Now())
+		e.core.Backends.Failed(e.last.Incarnation(), time.Now())
 	}
 	if err := e.responder.Whole(head, body); err != nil {
 		e.outcome = "caller_gone"
@@ -119,7 +119,7 @@
 func (e *exchange) finish(answer Answer, lease *backend.Lease) error {
 	freeBackend(answer, lease)
 	e.runs++
-	e.core.Backends.Succeeded(e.last.Life(), time.Now())
+	e.core.Backends.Succeeded(e.last.Incarnation(), time.Now())
 	e.outcome = "served"
 	if err := e.begin(answer); err != nil {
 		e.outcome = "caller_gone"
--- a/internal/serving/request.go
+++ b/internal/serving/request.go
@@ -177,7 +177,7 @@
 // Connector is a Sender that keeps connections to backends.
 type Connector interface {
 	// Connected returns the lives of backends to which an idle connection is open.
-	Connected() map[backend.Life]bool
+	Connected() map[backend.Incarnation]bool
 }
 
 // Responder is the caller's side of a request. One of Whole, Refuse, Finish
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -15,27 +15,27 @@
 	'	c.backends.Remove(row.Key)
 ' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
 mutant life_kept_over_a_start internal/backend/life.go \
-	'case told.Born != known.Born:' 'case false:' internal/backend TestNewLifeStartsWithNothing
+	'case told.StartMillis != known.StartMillis:' 'case false:' internal/backend TestNewLifeStartsWithNothing
 mutant late_entry_wins internal/backend/life.go \
-	'case told.Born < newest:' 'case false:' internal/backend 'TestLateWordsOfALifeThatHasEnded|TestWordsOfOldAndNewLivesInAnyOrder'
+	'case told.StartMillis < newest:' 'case false:' internal/backend 'TestLateWordsOfALifeThatHasEnded|TestWordsOfOldAndNewLivesInAnyOrder'
 mutant births_forgotten_with_the_entry internal/backend/backend.go \
-	'	s.births.note(known.Life())
+	'	s.births.note(known.Incarnation())
 ' '' internal/backend TestBirthsOnlyRiseOverAnAbsence
 mutant entry_without_birth_is_a_new_life internal/backend/life.go \
-	'case told.Born == 0 && newest > 0:' 'case false:' internal/backend TestEntryWithoutBirthBehindOneWithIt
+	'case told.StartMillis == 0 && newest > 0:' 'case false:' internal/backend TestEntryWithoutBirthBehindOneWithIt
 mutant words_of_another_life_count internal/backend/backend.go \
-	'if !exists || known.Born != life.Born {' 'if !exists {' internal/backend TestLateWordsOfALifeThatHasEnded
+	'if !exists || known.StartMillis != life.StartMillis {' 'if !exists {' internal/backend TestLateWordsOfALifeThatHasEnded
 mutant loads_of_another_life_count internal/backend/lease.go \
-	'|| load.Born != known.Born' '' internal/backend TestLateWordsOfALifeThatHasEnded
+	'|| load.StartMillis != known.StartMillis' '' internal/backend TestLateWordsOfALifeThatHasEnded
 mutant loads_of_two_lives_added internal/backend/backend.go \
-	'case other.Born < l.Born:' 'case false:' internal/backend TestWorkAtTwoLivesIsNotAdded
+	'case other.StartMillis < l.StartMillis:' 'case false:' internal/backend TestWorkAtTwoLivesIsNotAdded
 mutant loads_told_without_a_life internal/exchange/message.go \
-	'Born: load.Born, ' '' internal/exchange TestMessagesNameLives
+	'Born: load.StartMillis, ' '' internal/exchange TestMessagesNameLives
 mutant place_of_the_life_before internal/serving/exchange.go \
-	'AcquireLife(backend.Life{ID: candidate.ID, Born: candidate.Born}, ' 'Acquire(candidate.ID, ' internal/serving TestBackendThatStartsAgainHoldsNoPlace
+	'AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, ' 'Acquire(candidate.ID, ' internal/serving TestBackendThatStartsAgainHoldsNoPlace
 mutant ends_by_id internal/serving/guarded.go \
 	's.guard.Crashed(life.String(), runs)' 's.guard.Crashed(life.ID, runs)' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
 mutant later_life_confirms_no_end internal/serving/guarded.go \
 	' || s.backends.HasSuccessor(life)' '' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
 mutant connections_by_id platform/pool.go \
-	'endpoint{life: instance.Life(), ' 'endpoint{life: backend.Life{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
+	'endpoint{life: instance.Incarnation(), ' 'endpoint{life: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
