--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -80,8 +80,8 @@
 	prompts      *promptCache
 	// coldUntil is when the backend works at its usual speed, and seats what this daemon
 	// may send it until then.
-	coldUntil time.Time
-	seats     seatsTaken
+	coldUntil     time.Time
+	coldAllowance coldAllowance
 }
 
 // PeerLoad is another daemon's work in flight at a backend.
@@ -124,25 +124,25 @@
 	byService map[string][]*state
 	// births are the latest of backends that are gone.
 	births *births
-	reads  []Read
-	// untold are failures that the other daemons were not told yet.
-	untold map[Incarnation]int
-	urgent chan struct{}
-	// crowded tells that online requests may wait for this daemon's items.
-	crowded chan struct{}
+	reads  []PromptRead
+	// unsentFailures are failures that the other daemons were not told yet.
+	unsentFailures map[Incarnation]int
+	publishSignal  chan struct{}
+	// overloaded tells that online requests may wait for this daemon's items.
+	overloaded chan struct{}
 	// preemptions are backends at which other daemons' items should give way,
 	// and givingWay those at which an item of this daemon should.
-	preemptions chan string
-	givingWay   chan string
+	preemptions    chan string
+	ownPreemptions chan string
 	// waiting are this daemon's batch items that wait for a backend, and
 	// waitingElsewhere those of other daemons by who told.
-	waiting          int
-	waitingElsewhere map[string]int
-	hasHeard         bool
+	waiting        int
+	peerWaiting    map[string]int
+	hasPeerReports bool
 	// waits is what waits here by service, and sumsElsewhere what waits at other
 	// daemons by who told.
-	waits         map[string]*serviceWait
-	sumsElsewhere map[string]map[string]waiting.Sums
+	waits          map[string]*serviceWait
+	peerQueueStats map[string]map[string]waiting.Stats
 	// propagation is the time until other daemons know of a change here.
 	propagation time.Duration
 	closing     closing
@@ -153,11 +153,11 @@
 // NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{
-		states: map[string]*state{}, byService: map[string][]*state{}, urgent: make(chan struct{}, 1), crowded: make(chan struct{}, 1),
-		untold: map[Incarnation]int{}, births: newBirths(), waitingElsewhere: map[string]int{}, propagation: assumedPropagation,
-		preemptions: make(chan string, preemptQueue), givingWay: make(chan string, preemptQueue),
+		states: map[string]*state{}, byService: map[string][]*state{}, publishSignal: make(chan struct{}, 1), overloaded: make(chan struct{}, 1),
+		unsentFailures: map[Incarnation]int{}, births: newBirths(), peerWaiting: map[string]int{}, propagation: assumedPropagation,
+		preemptions: make(chan string, preemptQueue), ownPreemptions: make(chan string, preemptQueue),
 		connected: func() map[Incarnation]bool { return nil }, closing: newClosing(),
-		waits: map[string]*serviceWait{}, sumsElsewhere: map[string]map[string]waiting.Sums{},
+		waits: map[string]*serviceWait{}, peerQueueStats: map[string]map[string]waiting.Stats{},
 	}
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -52,9 +52,9 @@
 	require.Equal(t, 3, candidate(t, set).Online)
 	require.Equal(t, 1, candidate(t, set).Batch)
 	require.Zero(t, candidate(t, set).OwnBatch)
-	require.Equal(t, 7, set.WaitingElsewhere())
+	require.Equal(t, 7, set.PeerWaiting())
 	set.SetPeerLoads("d1", nil, 0)
-	require.Equal(t, 4, set.WaitingElsewhere())
+	require.Equal(t, 4, set.PeerWaiting())
 	require.Equal(t, 1, candidate(t, set).Online)
 	require.Empty(t, set.OwnLoads(), "others' loads are not told on")
 }
@@ -64,17 +64,17 @@
 	set, other := newSet(), newSet()
 	_, _ = set.Acquire("a", backend.Online, prompt)
 	select {
-	case <-set.Urgent():
+	case <-set.PublishSignal():
 	default:
 		t.Fatal("a large prompt is urgent")
 	}
-	reads := set.TakeReads()
-	require.Equal(t, []backend.Read{{Incarnation: backend.Incarnation{ID: "a"}, Part: "shared"}}, reads)
-	require.Empty(t, set.TakeReads())
+	reads := set.TakePromptReads()
+	require.Equal(t, []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "a"}, Part: "shared"}}, reads)
+	require.Empty(t, set.TakePromptReads())
 	require.Equal(t, 5100, candidate(t, other).UncachedTokens)
-	other.NoteReads(reads, time.Now())
+	other.RecordPeerPromptReads(reads, time.Now())
 	require.Equal(t, 100, candidate(t, other).UncachedTokens)
-	other.NoteReads(reads, time.Now().Add(-time.Minute))
+	other.RecordPeerPromptReads(reads, time.Now().Add(-time.Minute))
 	require.Equal(t, 5100, candidate(t, other).UncachedTokens, "long unused")
 }
 
@@ -100,13 +100,13 @@
 	for _, each := range sets[1:] {
 		require.False(t, each.Failed(backend.Incarnation{ID: "a"}, now))
 		each.Succeeded(backend.Incarnation{ID: "a"}, now)
-		sets[0].NoteFailures(each.TakeFailures(), now)
-		require.Empty(t, each.TakeFailures())
+		sets[0].RecordPeerFailures(each.TakeUnsentFailures(), now)
+		require.Empty(t, each.TakeUnsentFailures())
 	}
 	require.True(t, candidate(t, sets[0]).Ejected)
 	rare := newSet()
 	for second := range 20 {
-		rare.NoteFailures(map[backend.Incarnation]int{{ID: "a"}: 1}, now.Add(time.Duration(second)*3*time.Second))
+		rare.RecordPeerFailures(map[backend.Incarnation]int{{ID: "a"}: 1}, now.Add(time.Duration(second)*3*time.Second))
 		require.False(t, rare.Candidates("s", nil, now.Add(time.Duration(second)*3*time.Second))[0].Ejected)
 	}
 }
--- a/internal/backend/closed.go
+++ b/internal/backend/closed.go
@@ -7,9 +7,9 @@
 	"topazpulley/internal/warmup"
 )
 
-// Pacer returns how many requests this daemon may send in a turn to a cold backend that
+// ColdShare returns how many requests this daemon may send in a turn to a cold backend that
 // bears so many a second.
-type Pacer func(life Incarnation, perSecond float64, turn warmup.Turn) int
+type ColdShare func(life Incarnation, perSecond float64, turn warmup.Window) int
 
 // closing is what keeps new work from backends that discovery lists as usable: orders of
 // the operator for their zones, and the little that cold ones bear. Set.mutex guards it.
@@ -22,7 +22,7 @@
 	// coldRates are the requests a second that a cold backend bears, by service; none
 	// means any number.
 	coldRates func(service string) float64
-	pacer     Pacer
+	coldShare ColdShare
 }
 
 // reopenedTime is how long backends of a zone that was given back count as cold whatever
@@ -33,15 +33,15 @@
 	return closing{
 		evacuated: map[string]bool{}, reopened: map[string]time.Time{},
 		coldRates: func(string) float64 { return 0 },
-		pacer:     func(Incarnation, float64, warmup.Turn) int { return 1 },
+		coldShare: func(Incarnation, float64, warmup.Window) int { return 1 },
 	}
 }
 
-// seatsTaken counts the requests that this daemon sent to a cold backend in a turn.
-type seatsTaken struct {
-	turn  warmup.Turn
-	seats int
-	taken int
+// coldAllowance counts the requests that this daemon sent to a cold backend in a turn.
+type coldAllowance struct {
+	window warmup.Window
+	limit  int
+	sent   int
 }
 
 // SetEvacuated replaces the zones whose backends get no new work, and reports which zones
@@ -65,10 +65,10 @@
 	return evacuated, reopened
 }
 
-// SetPace sets how many requests a second cold backends of a service bear, 0 for any
+// SetColdLimits sets how many requests a second cold backends of a service bear, 0 for any
 // number, and this daemon's part of them. It must be called before the set is used.
-func (s *Set) SetPace(coldRates func(service string) float64, pacer Pacer) {
-	s.closing.coldRates, s.closing.pacer = coldRates, pacer
+func (s *Set) SetColdLimits(coldRates func(service string) float64, pacer ColdShare) {
+	s.closing.coldRates, s.closing.coldShare = coldRates, pacer
 }
 
 // IsEvacuated reports whether a service has backends, all of them in evacuated zones.
@@ -85,7 +85,7 @@
 
 // isClosed reports whether the backend may get no new work now. mutex must be held.
 func (s *Set) isClosed(known *state, now time.Time) bool {
-	return known.Draining || s.closing.evacuated[known.Zone] || !s.hasSeat(known, now)
+	return known.Draining || s.closing.evacuated[known.Zone] || !s.hasColdAllowance(known, now)
 }
 
 // isCold reports whether the backend bears only what its service's cold ones do.
@@ -94,9 +94,9 @@
 	return now.Before(known.coldUntil) || (wasEvacuated && now.Sub(reopened) < reopenedTime)
 }
 
-// hasSeat reports whether this daemon may send the backend one more request now. Cold
+// hasColdAllowance reports whether this daemon may send the backend one more request now. Cold
 // backends bear few requests a second from all daemons together. mutex must be held.
-func (s *Set) hasSeat(known *state, now time.Time) bool {
+func (s *Set) hasColdAllowance(known *state, now time.Time) bool {
 	if !s.isCold(known, now) {
 		return true
 	}
@@ -104,16 +104,16 @@
 	if perSecond <= 0 {
 		return true
 	}
-	turn := warmup.TurnAt(now)
-	if known.seats.turn != turn {
-		known.seats = seatsTaken{turn: turn, seats: s.closing.pacer(known.Incarnation(), perSecond, turn)}
+	turn := warmup.WindowAt(now)
+	if known.coldAllowance.window != turn {
+		known.coldAllowance = coldAllowance{window: turn, limit: s.closing.coldShare(known.Incarnation(), perSecond, turn)}
 	}
-	return known.seats.taken < known.seats.seats
+	return known.coldAllowance.sent < known.coldAllowance.limit
 }
 
-// takeSeat counts a request that is sent to the backend. mutex must be held.
-func (s *Set) takeSeat(known *state, now time.Time) {
-	if known.seats.turn == warmup.TurnAt(now) {
-		known.seats.taken++
+// useColdAllowance counts a request that is sent to the backend. mutex must be held.
+func (s *Set) useColdAllowance(known *state, now time.Time) {
+	if known.coldAllowance.window == warmup.WindowAt(now) {
+		known.coldAllowance.sent++
 	}
 }
--- a/internal/backend/closed_test.go
+++ b/internal/backend/closed_test.go
@@ -56,7 +56,7 @@
 // pacedSet is a set in which this daemon may send a cold backend one request a turn.
 func pacedSet(perSecond float64) *backend.Set {
 	set := backend.NewSet()
-	set.SetPace(func(string) float64 { return perSecond }, func(backend.Incarnation, float64, warmup.Turn) int { return 1 })
+	set.SetColdLimits(func(string) float64 { return perSecond }, func(backend.Incarnation, float64, warmup.Window) int { return 1 })
 	return set
 }
 
@@ -65,13 +65,13 @@
 	set := pacedSet(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
 	taken := 0
-	begun := warmup.TurnAt(time.Now())
+	begun := warmup.WindowAt(time.Now())
 	for range 100 {
 		if _, isTaken := set.Acquire("a", backend.Batch, nil); isTaken {
 			taken++
 		}
 	}
-	turns := int(warmup.TurnAt(time.Now()) - begun + 1)
+	turns := int(warmup.WindowAt(time.Now()) - begun + 1)
 	require.Positive(t, taken)
 	require.LessOrEqual(t, taken, turns)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4})
@@ -85,13 +85,13 @@
 	set.SetEvacuated(map[string]bool{"one": true}, time.Now())
 	set.SetEvacuated(nil, time.Now().Add(time.Hour))
 	taken := 0
-	begun := warmup.TurnAt(time.Now())
+	begun := warmup.WindowAt(time.Now())
 	for range 100 {
 		if _, isTaken := set.Acquire("a", backend.Online, nil); isTaken {
 			taken++
 		}
 	}
-	require.LessOrEqual(t, taken, int(warmup.TurnAt(time.Now())-begun+1))
+	require.LessOrEqual(t, taken, int(warmup.WindowAt(time.Now())-begun+1))
 }
 
 // TestServiceWithoutRateTakesAnyNumber: where the configuration names no rate, a cold backend
--- a/internal/backend/crowded_test.go
+++ b/internal/backend/crowded_test.go
@@ -31,16 +31,16 @@
 func TestOwnerHearsAtOnceOfWaitingOnlineRequests(t *testing.T) {
 	set := setWithItem(t)
 	_, _ = set.Acquire("one", backend.Online, nil)
-	require.False(t, isSignalled(set.Crowded()), "every request has a slot")
+	require.False(t, isSignalled(set.Overloaded()), "every request has a slot")
 	_, _ = set.Acquire("one", backend.Online, nil)
-	require.True(t, isSignalled(set.Crowded()))
-	require.True(t, isSignalled(set.Urgent()), "other owners are told at once")
+	require.True(t, isSignalled(set.Overloaded()))
+	require.True(t, isSignalled(set.PublishSignal()), "other owners are told at once")
 
 	set = setWithItem(t)
 	set.SetPeerLoads("other", map[string]backend.PeerLoad{"one": {Online: 1}}, 0)
-	require.False(t, isSignalled(set.Crowded()))
+	require.False(t, isSignalled(set.Overloaded()))
 	set.SetPeerLoads("other", map[string]backend.PeerLoad{"one": {Online: 2}}, 0)
-	require.True(t, isSignalled(set.Crowded()))
+	require.True(t, isSignalled(set.Overloaded()))
 }
 
 // TestItemThatGaveWayIsToldAtOnce, so that no other owner gives way as well.
@@ -49,10 +49,10 @@
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 1})
 	item, _ := set.Acquire("one", backend.Batch, nil)
 	_, _ = set.Acquire("one", backend.Online, nil)
-	require.True(t, isSignalled(set.Urgent()))
+	require.True(t, isSignalled(set.PublishSignal()))
 	item.Release()
-	require.True(t, isSignalled(set.Urgent()))
-	require.True(t, isSignalled(set.Crowded()))
+	require.True(t, isSignalled(set.PublishSignal()))
+	require.True(t, isSignalled(set.Overloaded()))
 }
 
 // TestItemsAloneCrowdNobodyOut.
@@ -61,5 +61,5 @@
 	for range 3 {
 		_, _ = set.Acquire("one", backend.Batch, nil)
 	}
-	require.False(t, isSignalled(set.Crowded()))
+	require.False(t, isSignalled(set.Overloaded()))
 }
--- a/internal/backend/health.go
+++ b/internal/backend/health.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	known.failures++
-	s.untold[life]++
+	s.unsentFailures[life]++
 	if known.failures >= failuresToEject {
 		known.eject(now)
 	}
@@ -82,18 +82,18 @@
 	}
 }
 
-// TakeFailures returns the failures by life since the last call.
-func (s *Set) TakeFailures() map[Incarnation]int {
+// TakeUnsentFailures returns the failures by life since the last call.
+func (s *Set) TakeUnsentFailures() map[Incarnation]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	taken := s.untold
-	s.untold = map[Incarnation]int{}
+	taken := s.unsentFailures
+	s.unsentFailures = map[Incarnation]int{}
 	return taken
 }
 
-// NoteFailures records failures that another daemon saw. Those of another life than
+// RecordPeerFailures records failures that another daemon saw. Those of another life than
 // the present one tell nothing of it.
-func (s *Set) NoteFailures(failures map[Incarnation]int, now time.Time) {
+func (s *Set) RecordPeerFailures(failures map[Incarnation]int, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for life, count := range failures {
--- a/internal/backend/lease.go
+++ b/internal/backend/lease.go
@@ -51,7 +51,7 @@
 	if s.isClosed(known, now) {
 		return nil, false
 	}
-	s.takeSeat(known, now)
+	s.useColdAllowance(known, now)
 	return s.acquire(known, class, prompt, now), true
 }
 
@@ -61,12 +61,12 @@
 	s.notePrompt(known, prompt, now)
 	known.pendingTokens += pending
 	known.count(class, 1)
-	isCrowded := class == Online && known.isCrowded()
+	isCrowded := class == Online && known.isOverloaded()
 	if pending >= urgentTokens || isCrowded {
-		signal(s.urgent)
+		signal(s.publishSignal)
 	}
 	if isCrowded && known.batch > 0 {
-		signal(s.crowded)
+		signal(s.overloaded)
 	}
 	return &Lease{set: s, state: known, class: class, pending: pending}
 }
@@ -79,14 +79,14 @@
 	}
 }
 
-// isCrowded reports whether online requests wait for items at the backend.
-func (k *state) isCrowded() bool {
+// isOverloaded reports whether online requests wait for items at the backend.
+func (k *state) isOverloaded() bool {
 	online, batch, _ := k.load()
 	return batch > 0 && online > 0 && online+batch > k.Slots
 }
 
-// Crowded is signalled when online requests may wait for this daemon's items.
-func (s *Set) Crowded() <-chan struct{} { return s.crowded }
+// Overloaded is signalled when online requests may wait for this daemon's items.
+func (s *Set) Overloaded() <-chan struct{} { return s.overloaded }
 
 func (k *state) count(class Class, change int) {
 	if class == Batch {
@@ -136,19 +136,19 @@
 	l.released = true
 	l.set.mutex.Lock()
 	defer l.set.mutex.Unlock()
-	wasCrowded := l.state.isCrowded()
+	wasCrowded := l.state.isOverloaded()
 	l.state.count(l.class, -1)
 	if hadPlace {
 		l.set.wait(l.state.Service).freed.Add(time.Now())
 	}
 	if l.class == Batch && wasCrowded {
 		// Others should not give way a second time.
-		signal(l.set.urgent)
+		signal(l.set.publishSignal)
 	}
 }
 
-// Reported records the load that a life of a backend told.
-func (s *Set) Reported(life Incarnation, report Report, now time.Time) {
+// RecordReport records the load that a life of a backend told.
+func (s *Set) RecordReport(life Incarnation, report Report, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.current(life)
@@ -180,10 +180,10 @@
 func (s *Set) SetPeerLoads(peer string, loads map[string]PeerLoad, waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.waitingElsewhere[peer] = waiting
-	s.hasHeard = s.hasHeard || loads != nil
+	s.peerWaiting[peer] = waiting
+	s.hasPeerReports = s.hasPeerReports || loads != nil
 	if loads == nil {
-		delete(s.waitingElsewhere, peer)
+		delete(s.peerWaiting, peer)
 	}
 	for id, known := range s.states {
 		load, tells := loads[id]
@@ -192,17 +192,17 @@
 			continue
 		}
 		known.peers[peer] = load
-		if known.batch > 0 && known.isCrowded() {
-			signal(s.crowded)
+		if known.batch > 0 && known.isOverloaded() {
+			signal(s.overloaded)
 		}
 	}
 }
 
-// HasHeard reports whether any other daemon ever told its work.
-func (s *Set) HasHeard() bool {
+// HasPeerReports reports whether any other daemon ever told its work.
+func (s *Set) HasPeerReports() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.hasHeard
+	return s.hasPeerReports
 }
 
 // SetOwnWaiting records how many batch items of this daemon wait for a backend.
@@ -219,13 +219,13 @@
 	return s.waiting
 }
 
-// WaitingElsewhere returns how many batch items of other daemons wait for a
+// PeerWaiting returns how many batch items of other daemons wait for a
 // backend.
-func (s *Set) WaitingElsewhere() int {
+func (s *Set) PeerWaiting() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	total := 0
-	for _, count := range s.waitingElsewhere {
+	for _, count := range s.peerWaiting {
 		total += count
 	}
 	return max(total, 0)
--- a/internal/backend/life_test.go
+++ b/internal/backend/life_test.go
@@ -34,7 +34,7 @@
 	lease, found := set.Acquire("one", Online, prompt)
 	require.True(t, found)
 	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {StartMillis: 1, Online: 2, Batch: 1, PendingTokens: 7}}, 0)
-	set.Reported(old, Report{Waiting: 5}, now)
+	set.RecordReport(old, Report{Waiting: 5}, now)
 	set.Unreachable(old, now)
 	before := only(t, set, prompt)
 	require.Equal(t, 3, before.Online)
@@ -65,10 +65,10 @@
 	for range failuresToEject + scoreToEject {
 		require.False(t, set.Failed(old, now))
 	}
-	require.Empty(t, set.TakeFailures())
-	set.NoteFailures(map[Incarnation]int{old: 9}, now)
-	set.NoteReads([]Read{{Incarnation: old, Part: "shared"}}, now)
-	set.Reported(old, Report{Waiting: 5}, now)
+	require.Empty(t, set.TakeUnsentFailures())
+	set.RecordPeerFailures(map[Incarnation]int{old: 9}, now)
+	set.RecordPeerPromptReads([]PromptRead{{Incarnation: old, Part: "shared"}}, now)
+	set.RecordReport(old, Report{Waiting: 5}, now)
 	set.SetPeerLoads("peer", map[string]PeerLoad{"one": {StartMillis: 1, Online: 2}}, 0)
 	set.RemoveIncarnation(old)
 	_, found := set.AcquireIncarnation(old, Online, nil)
--- a/internal/backend/preempt.go
+++ b/internal/backend/preempt.go
@@ -13,7 +13,7 @@
 	switch {
 	case !isKnown:
 	case s.HasBatch(id):
-		s.GiveWay(id)
+		s.PreemptOwn(id)
 	default:
 		offer(s.preemptions, id)
 	}
@@ -23,12 +23,12 @@
 // daemons should give way.
 func (s *Set) Preemptions() <-chan string { return s.preemptions }
 
-// GiveWay asks this daemon's batch work to take one item back from a backend.
-func (s *Set) GiveWay(id string) { offer(s.givingWay, id) }
+// PreemptOwn asks this daemon's batch work to take one item back from a backend.
+func (s *Set) PreemptOwn(id string) { offer(s.ownPreemptions, id) }
 
-// GivingWay returns the channel of the backends from which this daemon should
+// OwnPreemptions returns the channel of the backends from which this daemon should
 // take an item back.
-func (s *Set) GivingWay() <-chan string { return s.givingWay }
+func (s *Set) OwnPreemptions() <-chan string { return s.ownPreemptions }
 
 // HasBatch reports whether an item of this daemon runs at a backend.
 func (s *Set) HasBatch(id string) bool {
@@ -38,9 +38,9 @@
 	return exists && known.batch > 0
 }
 
-// BatchElsewhere returns how many batch items others have at a backend, by who
+// PeerBatch returns how many batch items others have at a backend, by who
 // told.
-func (s *Set) BatchElsewhere(id string) map[string]int {
+func (s *Set) PeerBatch(id string) map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	found := map[string]int{}
--- a/internal/backend/preempt_test.go
+++ b/internal/backend/preempt_test.go
@@ -17,12 +17,12 @@
 	lease, found := set.Acquire("one", Batch, nil)
 	require.True(t, found)
 	set.Preempt("one")
-	require.Equal(t, "one", <-set.GivingWay())
+	require.Equal(t, "one", <-set.OwnPreemptions())
 	require.Empty(t, set.Preemptions())
 	lease.Release()
 	set.SetPeerLoads("b", map[string]PeerLoad{"one": {Batch: 2}}, 0)
 	set.SetPeerLoads("c", map[string]PeerLoad{"one": {Online: 1}}, 0)
-	require.Equal(t, map[string]int{"b": 2}, set.BatchElsewhere("one"))
+	require.Equal(t, map[string]int{"b": 2}, set.PeerBatch("one"))
 }
 
 // TestPreemptionsNeverBlock however many wait.
--- a/internal/backend/prompts.go
+++ b/internal/backend/prompts.go
@@ -21,8 +21,8 @@
 	readQueue = 64
 )
 
-// Read tells that a backend reads a part of a prompt.
-type Read struct {
+// PromptRead tells that a backend reads a part of a prompt.
+type PromptRead struct {
 	Incarnation Incarnation
 	Part        string
 }
@@ -87,13 +87,13 @@
 		part := prompt[index]
 		known.prompts.touch(part.ID, now)
 		if part.Tokens >= sharedTokens && len(s.reads) < readQueue {
-			s.reads = append(s.reads, Read{Incarnation: known.Incarnation(), Part: part.ID})
+			s.reads = append(s.reads, PromptRead{Incarnation: known.Incarnation(), Part: part.ID})
 		}
 	}
 }
 
-// TakeReads returns the reads of large parts since the last call.
-func (s *Set) TakeReads() []Read {
+// TakePromptReads returns the reads of large parts since the last call.
+func (s *Set) TakePromptReads() []PromptRead {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	taken := s.reads
@@ -101,8 +101,8 @@
 	return taken
 }
 
-// NoteReads records what another daemon told.
-func (s *Set) NoteReads(reads []Read, now time.Time) {
+// RecordPeerPromptReads records what another daemon told.
+func (s *Set) RecordPeerPromptReads(reads []PromptRead, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, read := range reads {
@@ -112,5 +112,5 @@
 	}
 }
 
-// Urgent returns a channel that receives when a large prompt was sent.
-func (s *Set) Urgent() <-chan struct{} { return s.urgent }
+// PublishSignal returns a channel that receives when a large prompt was sent.
+func (s *Set) PublishSignal() <-chan struct{} { return s.publishSignal }
--- a/internal/backend/waiting.go
+++ b/internal/backend/waiting.go
@@ -9,15 +9,15 @@
 // serviceWait is what waits for places of one service, here and elsewhere. Set.mutex
 // guards it.
 type serviceWait struct {
-	// inTimeUntil is, by online request that waits here, until when it can be in time.
-	inTimeUntil map[*OnlineWait]time.Time
+	// onTimeUntil is, by online request that waits here, until when it can be in time.
+	onTimeUntil map[*WaitingRequest]time.Time
 	// freed counts the places that requests and items of this daemon freed.
-	freed waiting.Rate
-	lead  waiting.Lead
+	freed           waiting.Rate
+	firstOutputTime waiting.FirstOutputTime
 }
 
-// OnlineWait is one online request that waits for a place.
-type OnlineWait struct {
+// WaitingRequest is one online request that waits for a place.
+type WaitingRequest struct {
 	set     *Set
 	service string
 }
@@ -26,91 +26,91 @@
 func (s *Set) wait(service string) *serviceWait {
 	known, exists := s.waits[service]
 	if !exists {
-		known = &serviceWait{inTimeUntil: map[*OnlineWait]time.Time{}}
+		known = &serviceWait{onTimeUntil: map[*WaitingRequest]time.Time{}}
 		s.waits[service] = known
 	}
 	return known
 }
 
-// Await counts an online request that waits for a place of a service. It can be in time
+// TrackWaiting counts an online request that waits for a place of a service. It can be in time
 // until a moment.
-func (s *Set) Await(service string, inTimeUntil time.Time) *OnlineWait {
+func (s *Set) TrackWaiting(service string, inTimeUntil time.Time) *WaitingRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made := &OnlineWait{set: s, service: service}
-	s.wait(service).inTimeUntil[made] = inTimeUntil
+	made := &WaitingRequest{set: s, service: service}
+	s.wait(service).onTimeUntil[made] = inTimeUntil
 	return made
 }
 
-// Leave ends the count.
-func (w *OnlineWait) Leave() {
+// Done ends the count.
+func (w *WaitingRequest) Done() {
 	w.set.mutex.Lock()
 	defer w.set.mutex.Unlock()
-	delete(w.set.wait(w.service).inTimeUntil, w)
+	delete(w.set.wait(w.service).onTimeUntil, w)
 }
 
-// sums are this daemon's own.
-func (w *serviceWait) sums(now time.Time) waiting.Sums {
-	found := waiting.Sums{Freed: w.freed.Count(now)}
-	for _, until := range w.inTimeUntil {
+// stats are this daemon's own.
+func (w *serviceWait) stats(now time.Time) waiting.Stats {
+	found := waiting.Stats{FreedSlots: w.freed.Count(now)}
+	for _, until := range w.onTimeUntil {
 		if now.Before(until) {
-			found.InTime++
+			found.OnTime++
 			continue
 		}
-		found.Late++
+		found.Overdue++
 	}
 	return found
 }
 
-// OwnSums returns by service what waits at this daemon, without services for which
+// OwnQueueStats returns by service what waits at this daemon, without services for which
 // nothing waits and no place came free.
-func (s *Set) OwnSums(now time.Time) map[string]waiting.Sums {
+func (s *Set) OwnQueueStats(now time.Time) map[string]waiting.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found := map[string]waiting.Sums{}
+	found := map[string]waiting.Stats{}
 	for service, known := range s.waits {
-		if own := known.sums(now); own != (waiting.Sums{}) {
+		if own := known.stats(now); own != (waiting.Stats{}) {
 			found[service] = own
 		}
 	}
 	return found
 }
 
-// FleetSums returns what waits for a service at all daemons: here now, elsewhere as it
+// FleetQueueStats returns what waits for a service at all daemons: here now, elsewhere as it
 // was last told.
-func (s *Set) FleetSums(service string, now time.Time) waiting.Sums {
+func (s *Set) FleetQueueStats(service string, now time.Time) waiting.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	total := s.wait(service).sums(now)
-	for _, told := range s.sumsElsewhere {
-		total = total.Add(told[service])
+	total := s.wait(service).stats(now)
+	for _, told := range s.peerQueueStats {
+		total = total.Plus(told[service])
 	}
 	return total
 }
 
-// SetPeerSums replaces what waits at another daemon, by service. A nil map forgets the
+// SetPeerQueueStats replaces what waits at another daemon, by service. A nil map forgets the
 // daemon.
-func (s *Set) SetPeerSums(peer string, told map[string]waiting.Sums) {
+func (s *Set) SetPeerQueueStats(peer string, told map[string]waiting.Stats) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if told == nil {
-		delete(s.sumsElsewhere, peer)
+		delete(s.peerQueueStats, peer)
 		return
 	}
-	s.sumsElsewhere[peer] = told
+	s.peerQueueStats[peer] = told
 }
 
-// Answered learns how long an answer of a service took from its place to the first
+// ObserveFirstOutput learns how long an answer of a service took from its place to the first
 // output.
-func (s *Set) Answered(service string, taken time.Duration) {
+func (s *Set) ObserveFirstOutput(service string, taken time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.wait(service).lead.Add(taken)
+	s.wait(service).firstOutputTime.Add(taken)
 }
 
-// Lead returns the time to be kept for an answer of a service within an objective.
-func (s *Set) Lead(service string, objective time.Duration) time.Duration {
+// FirstOutputTime returns the time to be kept for an answer of a service within an objective.
+func (s *Set) FirstOutputTime(service string, objective time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.wait(service).lead.Within(objective)
+	return s.wait(service).firstOutputTime.Within(objective)
 }
--- a/internal/engine/quarantine.go
+++ b/internal/engine/quarantine.go
@@ -57,7 +57,7 @@
 func hasEnded(address string) bool {
 	connection, err := net.DialTimeout("tcp", address, quarantine.LiveCheckTimeout)
 	if err != nil {
-		return quarantine.TellsEnd(err)
+		return quarantine.IndicatesExit(err)
 	}
 	_ = connection.Close() // nothing was sent on it
 	return false
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -89,7 +89,7 @@
 
 // New returns an exchange. It subscribes to the node, which must not run yet.
 func New(node *cluster.Node, backends *backend.Set, log *slog.Logger) *Exchange {
-	made := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: neighborhood.WholeFleet, Section: func() (float64, bool) { return 1, false }, heard: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	made := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: neighborhood.FullMeshLimit, Section: func() (float64, bool) { return 1, false }, heard: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	node.Subscribe(made.receive)
 	return made
 }
@@ -102,7 +102,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.backends.Urgent():
+		case <-e.backends.PublishSignal():
 			e.send(time.Now(), e.currentAudience(time.Now()))
 			periodic.Sleep(ctx, urgentPause)
 		case id := <-e.backends.Preemptions():
@@ -161,8 +161,8 @@
 
 // send tells this daemon's own loads and news.
 func (e *Exchange) send(now time.Time, audience audience) {
-	work := loads{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), sums: e.backends.OwnSums(now)}
-	told := news{reads: e.backends.TakeReads(), failures: e.backends.TakeFailures()}
+	work := loads{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), sums: e.backends.OwnQueueStats(now)}
+	told := news{reads: e.backends.TakePromptReads(), failures: e.backends.TakeUnsentFailures()}
 	isSame := work.equal(e.last) && told.isEmpty()
 	if isSame && (work.isEmpty() || now.Sub(e.sentAt) < max(refreshInterval, audience.interval())) {
 		return
@@ -220,7 +220,7 @@
 	e.heard[othersOfFleet] = now
 	e.mutex.Unlock()
 	e.backends.SetPeerLoads(othersOfFleet, own.inFlight, own.waiting)
-	e.backends.SetPeerSums(othersOfFleet, own.sums)
+	e.backends.SetPeerQueueStats(othersOfFleet, own.sums)
 	for name, work := range others {
 		e.tell([]string{name}, keyOthers+e.self.Name, work, pending.forMember(name), now)
 	}
@@ -259,8 +259,8 @@
 		e.log.Warn("load_not_decoded", "key", item.Key, "error", err)
 		return
 	}
-	e.backends.NoteReads(told.reads, now)
-	e.backends.NoteFailures(told.failures, now)
+	e.backends.RecordPeerPromptReads(told.reads, now)
+	e.backends.RecordPeerFailures(told.failures, now)
 	switch {
 	case isZone:
 		e.mutex.Lock()
@@ -283,7 +283,7 @@
 	e.heard[name] = now
 	e.mutex.Unlock()
 	e.backends.SetPeerLoads(name, work.inFlight, work.waiting)
-	e.backends.SetPeerSums(name, work.sums)
+	e.backends.SetPeerQueueStats(name, work.sums)
 }
 
 func (e *Exchange) drop(name string) {
@@ -294,7 +294,7 @@
 	e.mutex.Unlock()
 	if known {
 		e.backends.SetPeerLoads(name, nil, 0)
-		e.backends.SetPeerSums(name, nil)
+		e.backends.SetPeerQueueStats(name, nil)
 	}
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -117,7 +117,7 @@
 	const total = size * (size - 1) / 2
 	for index, each := range daemons {
 		require.Eventually(t, func() bool {
-			return each.seen().Online == total && each.backends.WaitingElsewhere() == total-index
+			return each.seen().Online == total && each.backends.PeerWaiting() == total-index
 		}, patience, pollTime, "daemon %d", index)
 	}
 	daemons[5].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
--- a/internal/exchange/lives_test.go
+++ b/internal/exchange/lives_test.go
@@ -13,7 +13,7 @@
 func TestMessagesNameLives(t *testing.T) {
 	work := loads{inFlight: map[string]backend.PeerLoad{"one": {StartMillis: 1_764_728_000_123, Online: 2, Batch: 1, PendingTokens: 7}, "two": {Online: 1}}, waiting: 3}
 	told := news{
-		reads:    []backend.Read{{Incarnation: backend.Incarnation{ID: "one", StartMillis: 5}, Part: "p"}},
+		reads:    []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one", StartMillis: 5}, Part: "p"}},
 		failures: map[backend.Incarnation]int{{ID: "one", StartMillis: 5}: 2, {ID: "one", StartMillis: 6}: 1, {ID: "two"}: 1},
 	}
 	payload, err := encode(work, told)
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -18,7 +18,7 @@
 	// waiting is the number of batch items that wait for a backend.
 	waiting int
 	// sums is what online requests wait for, by service.
-	sums map[string]waiting.Sums
+	sums map[string]waiting.Stats
 }
 
 // add counts further work.
@@ -49,7 +49,7 @@
 // news is what is told once: large prompt parts that were sent, and failures
 // of backends.
 type news struct {
-	reads    []backend.Read
+	reads    []backend.PromptRead
 	failures map[backend.Incarnation]int
 }
 
@@ -139,9 +139,9 @@
 	for _, each := range message.Backends {
 		work.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.Born, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
 	}
-	told := news{reads: make([]backend.Read, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
+	told := news{reads: make([]backend.PromptRead, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
 	for _, each := range message.Reads {
-		told.reads = append(told.reads, backend.Read{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.Born}, Part: each.Part})
+		told.reads = append(told.reads, backend.PromptRead{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.Born}, Part: each.Part})
 	}
 	for _, each := range message.Failures {
 		told.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.Born}] += each.Count
--- a/internal/exchange/preempt.go
+++ b/internal/exchange/preempt.go
@@ -20,7 +20,7 @@
 	switch {
 	case !audience.isRelayed:
 		e.mutex.Lock()
-		owner, found := drawByCount(e.backends.BatchElsewhere(id), e.random)
+		owner, found := drawByCount(e.backends.PeerBatch(id), e.random)
 		e.mutex.Unlock()
 		if found {
 			e.sendPreemption(owner, id, nil)
@@ -36,7 +36,7 @@
 // for its zone.
 func (e *Exchange) acceptPreemption(id string, isBetweenZones bool) {
 	if e.backends.HasBatch(id) {
-		e.backends.GiveWay(id)
+		e.backends.PreemptOwn(id)
 		return
 	}
 	audience := e.currentAudience(time.Now())
@@ -54,7 +54,7 @@
 	switch {
 	case !found:
 	case member == e.self.Name:
-		e.backends.GiveWay(id)
+		e.backends.PreemptOwn(id)
 	case member != "":
 		e.sendPreemption(member, id, nil)
 	default:
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -66,7 +66,7 @@
 // other zones.
 func TestNewsAreToldOnceAndNeverBack(t *testing.T) {
 	gathered, now := newRelay(), time.Now()
-	told := news{reads: []backend.Read{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
+	told := news{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
 	gathered.noteMember("a", work(1), told, now)
 	gathered.noteMember("a", work(2), told, now)
 	gathered.noteZone("far", work(1), told, now)
@@ -81,7 +81,7 @@
 func TestNewsAreBounded(t *testing.T) {
 	gathered := news{}
 	for range newsLimit {
-		gathered.add(news{reads: []backend.Read{{}, {}}})
+		gathered.add(news{reads: []backend.PromptRead{{}, {}}})
 	}
 	require.Len(t, gathered.reads, newsLimit)
 }
@@ -97,10 +97,10 @@
 // TestEveryZoneHasRelaysThatAllAgreeOn, that reach every daemon of their zone,
 // and the relays of each other zone.
 func TestEveryZoneHasRelaysThatAllAgreeOn(t *testing.T) {
-	members := fleet(neighborhood.WholeFleet + 5)
+	members := fleet(neighborhood.FullMeshLimit + 5)
 	relays := map[string][]string{}
 	for _, self := range members {
-		found := audienceOf(self, members, neighborhood.WholeFleet, section{})
+		found := audienceOf(self, members, neighborhood.FullMeshLimit, section{})
 		require.True(t, found.isRelayed)
 		require.Empty(t, found.members)
 		require.Len(t, found.relays, relaysPerZone)
@@ -110,7 +110,7 @@
 		require.Equal(t, relays[self.Zone], found.relays)
 	}
 	for _, self := range members {
-		found := audienceOf(self, members, neighborhood.WholeFleet, section{})
+		found := audienceOf(self, members, neighborhood.FullMeshLimit, section{})
 		if !found.isRelay(self.Name) {
 			require.Empty(t, found.zone)
 			require.Empty(t, found.zoneRelays)
@@ -126,16 +126,16 @@
 
 // TestSmallFleetsTellAllDirectly.
 func TestSmallFleetsTellAllDirectly(t *testing.T) {
-	members := fleet(neighborhood.WholeFleet)
-	found := audienceOf(members[0], members, neighborhood.WholeFleet, section{})
+	members := fleet(neighborhood.FullMeshLimit)
+	found := audienceOf(members[0], members, neighborhood.FullMeshLimit, section{})
 	require.False(t, found.isRelayed)
-	require.Len(t, found.members, neighborhood.WholeFleet-1)
+	require.Len(t, found.members, neighborhood.FullMeshLimit-1)
 }
 
 // TestLoadsSurviveTheWire.
 func TestLoadsSurviveTheWire(t *testing.T) {
 	sent := loads{inFlight: map[string]backend.PeerLoad{"one": {Online: 1, Batch: 2, PendingTokens: 3}, "idle": {}}, waiting: 7}
-	told := news{reads: []backend.Read{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
+	told := news{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
 	payload, err := encode(sent, told)
 	require.NoError(t, err)
 	got, gotNews, err := decode(payload)
@@ -152,13 +152,13 @@
 func TestLargeFleetsTellNeighbors(t *testing.T) {
 	for _, size := range []int{300, 900} {
 		members := fleet(size)
-		found := audienceOf(members[0], members, neighborhood.WholeFleet, section{width: 6 / float64(size), isPart: true})
+		found := audienceOf(members[0], members, neighborhood.FullMeshLimit, section{width: 6 / float64(size), isPart: true})
 		require.False(t, found.isRelayed)
 		require.Empty(t, found.relays)
 		require.NotEmpty(t, found.members)
-		require.Less(t, len(found.members), neighborhood.WholeFleet)
+		require.Less(t, len(found.members), neighborhood.FullMeshLimit)
 	}
 	small := fleet(10)
-	found := audienceOf(small[0], small, neighborhood.WholeFleet, section{width: 0.001, isPart: true})
+	found := audienceOf(small[0], small, neighborhood.FullMeshLimit, section{width: 0.001, isPart: true})
 	require.Len(t, found.members, 9, "a small fleet tells all")
 }
--- a/internal/exchange/sums.go
+++ b/internal/exchange/sums.go
@@ -15,44 +15,44 @@
 }
 
 // addSums returns the sums of both by service, without those of nothing.
-func addSums(one, other map[string]waiting.Sums) map[string]waiting.Sums {
+func addSums(one, other map[string]waiting.Stats) map[string]waiting.Stats {
 	total := maps.Clone(one)
 	if total == nil {
-		total = map[string]waiting.Sums{}
+		total = map[string]waiting.Stats{}
 	}
 	for service, sums := range other {
-		total[service] = total[service].Add(sums)
+		total[service] = total[service].Plus(sums)
 	}
 	return total
 }
 
 // sumsWithout takes a part out of sums by service, without those of nothing.
-func sumsWithout(total, part map[string]waiting.Sums) map[string]waiting.Sums {
-	left := make(map[string]waiting.Sums, len(total))
+func sumsWithout(total, part map[string]waiting.Stats) map[string]waiting.Stats {
+	left := make(map[string]waiting.Stats, len(total))
 	for service, sums := range total {
-		if rest := sums.Without(part[service]); rest != (waiting.Sums{}) {
+		if rest := sums.Minus(part[service]); rest != (waiting.Stats{}) {
 			left[service] = rest
 		}
 	}
 	return left
 }
 
-func recordsOf(sums map[string]waiting.Sums) []sumsRecord {
+func recordsOf(sums map[string]waiting.Stats) []sumsRecord {
 	records := make([]sumsRecord, 0, len(sums))
 	for service, each := range sums {
-		records = append(records, sumsRecord{Service: service, InTime: each.InTime, Late: each.Late, Freed: each.Freed})
+		records = append(records, sumsRecord{Service: service, InTime: each.OnTime, Late: each.Overdue, Freed: each.FreedSlots})
 	}
 	return records
 }
 
 // sumsOf returns sums by service; nil if none are told.
-func sumsOf(records []sumsRecord) map[string]waiting.Sums {
+func sumsOf(records []sumsRecord) map[string]waiting.Stats {
 	if len(records) == 0 {
 		return nil
 	}
-	sums := make(map[string]waiting.Sums, len(records))
+	sums := make(map[string]waiting.Stats, len(records))
 	for _, each := range records {
-		sums[each.Service] = waiting.Sums{InTime: each.InTime, Late: each.Late, Freed: each.Freed}
+		sums[each.Service] = waiting.Stats{OnTime: each.InTime, Overdue: each.Late, FreedSlots: each.Freed}
 	}
 	return sums
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -148,7 +148,7 @@
 	store := table.NewMonotonic(availability)
 	f.store = store
 	shareVersions(f.node, store)
-	f.Backends.SetPace(f.coldRate, coldPacer(f.node, time.Now().Add(settlingTime)))
+	f.Backends.SetColdLimits(f.coldRate, coldPacer(f.node, time.Now().Add(settlingTime)))
 	accounts := quota.NewAccounts(f.store, quotaPeers{node: f.node, transport: f.transport}, metrics.Quota, log)
 	peer.Handle(f.transport, methodQuota, func(ctx context.Context, _ string, request quota.Request) (quota.Answer, error) {
 		return accounts.Serve(ctx, request)
@@ -225,12 +225,12 @@
 // coldPacer returns this daemon's part of what cold backends bear. A daemon that has just
 // started may know a few of the others only, and would take their parts too; it sends
 // cold backends nothing until it is settled.
-func coldPacer(node *cluster.Node, settledAt time.Time) backend.Pacer {
-	return func(life backend.Incarnation, perSecond float64, turn warmup.Turn) int {
+func coldPacer(node *cluster.Node, settledAt time.Time) backend.ColdShare {
+	return func(life backend.Incarnation, perSecond float64, turn warmup.Window) int {
 		if time.Now().Before(settledAt) {
 			return 0
 		}
-		return warmup.Seats(node.Self().Name, node.AllNames(), life.String(), perSecond, turn)
+		return warmup.Allowance(node.Self().Name, node.AllNames(), life.String(), perSecond, turn)
 	}
 }
 
@@ -297,7 +297,7 @@
 	if !isPart {
 		return f.Members()
 	}
-	return neighborhood.Sharing(width, f.Members())
+	return neighborhood.MaxDaemonsPerBackend(width, f.Members())
 }
 
 // claimsDeferral is how long a daemon of a large fleet that starts waits for an upstream
@@ -361,9 +361,9 @@
 	f.node.Leave()
 }
 
-// AwaitEnds waits until the ends of jobs that callers asked for here have ended, or
+// AwaitCancellations waits until the ends of jobs that callers asked for here have ended, or
 // the context ends.
-func (f *Frontend) AwaitEnds(ctx context.Context) { f.Jobs.AwaitEnds(ctx) }
+func (f *Frontend) AwaitCancellations(ctx context.Context) { f.Jobs.AwaitCancellations(ctx) }
 
 // Close ends the peer protocol.
 func (f *Frontend) Close() { f.transport.Stop() }
--- a/internal/frontend/jobends.go
+++ b/internal/frontend/jobends.go
@@ -57,13 +57,13 @@
 // Schema implements peer.Message.
 func (jobEndedAnswer) Schema() avro.Schema { return jobEndedAnswerSchema }
 
-// TellEnded implements job.Peers.
-func (p peers) TellEnded(owner, ended string, version table.Version) {
+// NotifyClaimRemoved implements job.Peers.
+func (p peers) NotifyClaimRemoved(owner, ended string, version table.Version) {
 	tell(p, owner, ended, methodJobEnded, jobEnded{Job: ended, Version: int64(version)})
 }
 
-// TellWantedEnd implements job.Peers.
-func (p peers) TellWantedEnd(owner string, wanted job.WantedEnd) {
+// NotifyCancelRequest implements job.Peers.
+func (p peers) NotifyCancelRequest(owner string, wanted job.CancelRequest) {
 	message := jobEndWanted{Job: wanted.Job, Tenant: wanted.Tenant, RemainingMillis: wanted.Remaining.Milliseconds()}
 	tell(p, owner, wanted.Job, methodJobEndWanted, message)
 }
@@ -87,12 +87,12 @@
 // listenForEnds has the service hear of ends that other daemons tell.
 func listenForEnds(transport *peer.Transport, jobs *job.Service) {
 	peer.Handle(transport, methodJobEnded, func(_ context.Context, _ string, told jobEnded) (jobEndedAnswer, error) {
-		jobs.HeardEnded(told.Job, table.Version(told.Version))
+		jobs.HandleClaimRemoved(told.Job, table.Version(told.Version))
 		return jobEndedAnswer{}, nil
 	})
 	peer.Handle(transport, methodJobEndWanted, func(_ context.Context, _ string, told jobEndWanted) (jobEndedAnswer, error) {
 		remaining := time.Duration(told.RemainingMillis) * time.Millisecond
-		jobs.HeardWantedEnd(job.WantedEnd{Job: told.Job, Tenant: told.Tenant, Remaining: remaining})
+		jobs.HandleCancelRequest(job.CancelRequest{Job: told.Job, Tenant: told.Tenant, Remaining: remaining})
 		return jobEndedAnswer{}, nil
 	})
 }
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -95,7 +95,7 @@
 	pause := rejoinPause
 	for !f.writeAddress(ctx) && periodic.SleepAbout(ctx, pause) {
 		pause = min(2*pause, longestRegisterPause)
-		if found := f.Members(); found > neighborhood.WholeFleet {
+		if found := f.Members(); found > neighborhood.FullMeshLimit {
 			periodic.Sleep(ctx, rand.N(time.Duration(found)*registerSpread))
 		}
 	}
--- a/internal/frontend/quota.go
+++ b/internal/frontend/quota.go
@@ -28,9 +28,9 @@
 
 var _ quota.Peers = quotaPeers{}
 
-// Keeper implements quota.Peers: the keeper is chosen by rendezvous hashing
+// Coordinator implements quota.Peers: the keeper is chosen by rendezvous hashing
 // among the daemons that are not suspected.
-func (p quotaPeers) Keeper(account string) (string, bool) {
+func (p quotaPeers) Coordinator(account string) (string, bool) {
 	addresses := map[string]string{}
 	names := []string{}
 	for _, member := range p.node.Members() {
@@ -66,7 +66,7 @@
 			return
 		}
 		if account, isPressed := strings.CutPrefix(event.Item.Key, keyPressed); isPressed {
-			accounts.Press(account, time.Now())
+			accounts.MarkNearLimit(account, time.Now())
 		}
 	})
 }
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -54,7 +54,7 @@
 
 func newSectionPlan(daemon string, ports Ports, holder *route.Holder, backends *backend.Set, log *slog.Logger) *sectionPlan {
 	return &sectionPlan{
-		place: neighborhood.Place(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
+		place: neighborhood.RingPosition(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
 	}
 }
 
--- a/internal/frontend/upstream.go
+++ b/internal/frontend/upstream.go
@@ -138,7 +138,7 @@
 	}
 	u.chosenAt = now
 	if generation := u.node.Generation(); generation != u.chosenOf {
-		u.chosen, u.chosenOf = upstreamsOf(u.self.Zone, u.node.Members(), neighborhood.WholeFleet), generation
+		u.chosen, u.chosenOf = upstreamsOf(u.self.Zone, u.node.Members(), neighborhood.FullMeshLimit), generation
 	}
 	return u.chosen
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	found := []membership.Member{}
-	for _, name := range duty.Owners("table-upstream/"+zone, names, neighborhood.Upstreams(len(names))) {
+	for _, name := range duty.Owners("table-upstream/"+zone, names, neighborhood.UpstreamCount(len(names))) {
 		found = append(found, byName[name])
 	}
 	return found
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -40,17 +40,17 @@
 // a suspected daemon is none, and a small fleet has none.
 func TestEachZoneOfALargeFleetHasItsUpstreams(t *testing.T) {
 	members := fleetIn(3, 20)
-	chosen := upstreamsOf("zone-1", members, neighborhood.WholeFleet)
-	require.Len(t, chosen, neighborhood.Upstreams(20))
+	chosen := upstreamsOf("zone-1", members, neighborhood.FullMeshLimit)
+	require.Len(t, chosen, neighborhood.UpstreamCount(20))
 	for index := range members {
 		if members[index].Name == chosen[0].Name {
 			members[index].State = membership.StateSuspect
 		}
 	}
-	changed := upstreamsOf("zone-1", members, neighborhood.WholeFleet)
+	changed := upstreamsOf("zone-1", members, neighborhood.FullMeshLimit)
 	require.Equal(t, chosen[1].Name, changed[0].Name)
-	require.Len(t, changed, neighborhood.Upstreams(20))
-	require.Empty(t, upstreamsOf("zone-1", fleetIn(4, 10), neighborhood.WholeFleet))
+	require.Len(t, changed, neighborhood.UpstreamCount(20))
+	require.Empty(t, upstreamsOf("zone-1", fleetIn(4, 10), neighborhood.FullMeshLimit))
 }
 
 // newCopy follows a table of a store in memory.
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -48,7 +48,7 @@
 	if err == nil {
 		defer answer.Close()
 		if report, told := answer.Load(); told {
-			s.backends.Reported(instance.Incarnation(), report, time.Now())
+			s.backends.RecordReport(instance.Incarnation(), report, time.Now())
 		}
 		err = s.readItem(running, answer, lease, watched)
 	}
--- a/internal/job/claims.go
+++ b/internal/job/claims.go
@@ -49,9 +49,9 @@
 	s.forgetClaim(id)
 }
 
-// HeardEnded takes note that a claim was removed, as the daemon tells that removed it:
+// HandleClaimRemoved takes note that a claim was removed, as the daemon tells that removed it:
 // sooner than the copy of the claims does, which is up to 1.5 s behind.
-func (s *Service) HeardEnded(id string, version table.Version) {
+func (s *Service) HandleClaimRemoved(id string, version table.Version) {
 	s.mutex.Lock()
 	s.noteClaimGone(id, version)
 	held := s.owned[id]
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -51,11 +51,11 @@
 		case <-yield.C:
 			s.yieldItems()
 			s.resetYield(isIdle, yield)
-		case <-s.backends.Crowded():
+		case <-s.backends.Overloaded():
 			s.yieldItems()
 			s.resetYield(isIdle, yield)
 			periodic.Sleep(ctx, crowdedPause)
-		case id := <-s.backends.GivingWay():
+		case id := <-s.backends.OwnPreemptions():
 			s.giveWay(id)
 		case <-dispatch.C:
 			s.dispatchWaiting()
@@ -93,7 +93,7 @@
 	s.mutex.Unlock()
 	// When all daemons start at once, owners that know nothing of each other
 	// would all place their items into the same room.
-	isSettled := s.backends.HasHeard() || !now.Before(s.settledAt)
+	isSettled := s.backends.HasPeerReports() || !now.Before(s.settledAt)
 	if isStopping || !isSettled || now.Sub(s.dispatchedAt) < dispatchInterval/2 {
 		return
 	}
@@ -109,7 +109,7 @@
 			ready = append(ready, each.waiting(now)...)
 		}
 	}
-	s.placer.begin(len(ready), s.backends.WaitingElsewhere(), now, s.propagationWindow())
+	s.placer.begin(len(ready), s.backends.PeerWaiting(), now, s.propagationWindow())
 	sent := 0
 	for _, waiting := range ready {
 		if s.dispatch(waiting, now) {
--- a/internal/job/early_end_test.go
+++ b/internal/job/early_end_test.go
@@ -46,7 +46,7 @@
 			submitted := newJob("j1", 20)
 			submitted.Tenant = tenant
 			submitLate(t, store, owner, submitted)
-			require.True(t, failure.Is(other.Of(tenant).End(t.Context(), "j1"), failure.KindNotFound))
+			require.True(t, failure.Is(other.Of(tenant).Cancel(t.Context(), "j1"), failure.KindNotFound))
 			store.Settle()
 			time.Sleep(time.Second)
 			require.Zero(t, runner.total(), "items of the ended job were sent")
@@ -132,7 +132,7 @@
 	answered := make(chan error, 1)
 	go func() { answered <- owner.Submit(t.Context(), submitted) }()
 	time.Sleep(lastWatch)
-	require.True(t, failure.Is(other.Of("other").End(t.Context(), "j1"), failure.KindNotFound))
+	require.True(t, failure.Is(other.Of("other").Cancel(t.Context(), "j1"), failure.KindNotFound))
 	refusing.isRefusing.Store(false)
 	require.NoError(t, <-answered)
 	requireAllCompleted(t, owner, submitted)
--- a/internal/job/end_test.go
+++ b/internal/job/end_test.go
@@ -164,7 +164,7 @@
 			})
 			left, leave := context.WithCancel(t.Context())
 			leave()
-			require.Error(t, owner.Of(tenant).End(left, "j1"))
+			require.Error(t, owner.Of(tenant).Cancel(left, "j1"))
 			time.Sleep(lastWatch) // a round of placing that began before the end is over
 			owner.backends.Put(room(100))
 			time.Sleep(time.Second)
@@ -191,9 +191,9 @@
 	require.Equal(t, 1, owner.Owned())
 	told := other.peers.told[0]
 	require.Equal(t, "a", told.owner)
-	owner.HeardEnded(told.job, told.version-1)
+	owner.HandleClaimRemoved(told.job, told.version-1)
 	require.Equal(t, 1, owner.Owned(), "an older claim ended")
-	owner.HeardEnded(told.job, told.version)
+	owner.HandleClaimRemoved(told.job, told.version)
 	require.Zero(t, owner.Owned())
 	time.Sleep(time.Second)
 	require.Zero(t, owner.Owned(), "the job was taken up again")
--- a/internal/job/ending.go
+++ b/internal/job/ending.go
@@ -114,7 +114,7 @@
 	return found
 }
 
-// End ends a job: its claim is removed, and nothing more of it is run. Ending a job
+// Cancel ends a job: its claim is removed, and nothing more of it is run. Ending a job
 // that has ended is no error.
 //
 // Once it is asked for, the end is pursued for endTime whether or not the caller
@@ -123,7 +123,7 @@
 // daemons with a store that turns nine in ten commits away for 4 s at a time, where ends
 // live as long as their calls. An end that outlives the call is therefore never answered
 // as not done.
-func (t TenantJobs) End(ctx context.Context, id string) error {
+func (t TenantJobs) Cancel(ctx context.Context, id string) error {
 	s, key := t.service, endingKey{job: id, tenant: t.tenant}
 	found, isNew, isRoom := s.endings.begin(key)
 	if !isRoom {
@@ -178,7 +178,7 @@
 	s.mutex.Unlock()
 	s.drop(key.job, dropEnded)
 	if removed.claim.Owner != "" && removed.claim.Owner != s.self.Name {
-		s.peers.TellEnded(removed.claim.Owner, key.job, removed.version)
+		s.peers.NotifyClaimRemoved(removed.claim.Owner, key.job, removed.version)
 	}
 	return nil
 }
@@ -293,8 +293,8 @@
 	return pause.sleep(ctx)
 }
 
-// AwaitEnds waits until the ends that are under way have ended, or the context ends.
-func (s *Service) AwaitEnds(ctx context.Context) {
+// AwaitCancellations waits until the ends that are under way have ended, or the context ends.
+func (s *Service) AwaitCancellations(ctx context.Context) {
 	for _, each := range s.endings.all() {
 		select {
 		case <-each.done:
--- a/internal/job/fleet_test.go
+++ b/internal/job/fleet_test.go
@@ -189,19 +189,19 @@
 
 func (p *livePeers) Successor(string) string { return p.successor }
 
-func (p *livePeers) TellEnded(owner, job string, version table.Version) {
+func (p *livePeers) NotifyClaimRemoved(owner, job string, version table.Version) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.told = append(p.told, toldEnd{owner: owner, job: job, version: version})
 }
 
-// TellWantedEnd has the owner hear of the end, if it is reached.
-func (p *livePeers) TellWantedEnd(owner string, wanted job.WantedEnd) {
+// NotifyCancelRequest has the owner hear of the end, if it is reached.
+func (p *livePeers) NotifyCancelRequest(owner string, wanted job.CancelRequest) {
 	p.mutex.Lock()
 	told := p.reached[owner]
 	p.mutex.Unlock()
 	if told != nil {
-		told.HeardWantedEnd(wanted)
+		told.HandleCancelRequest(wanted)
 	}
 }
 
@@ -224,7 +224,7 @@
 // alone is the view of a daemon that commits for itself.
 type alone struct{}
 
-func (alone) Keeper(string) (string, bool) { return "", true }
+func (alone) Coordinator(string) (string, bool) { return "", true }
 func (alone) Apply(context.Context, string, quota.Request) (quota.Answer, error) {
 	return quota.Answer{}, context.Canceled
 }
@@ -297,7 +297,7 @@
 }
 
 // End ends a job that belongs to no tenant.
-func (d *daemon) End(ctx context.Context, id string) error { return d.Of("").End(ctx, id) }
+func (d *daemon) End(ctx context.Context, id string) error { return d.Of("").Cancel(ctx, id) }
 
 func newJob(id string, items int) job.Job {
 	made := job.Job{ID: id, Host: "host.example", SubmittedAt: time.Now(), Due: 20 * time.Second}
--- a/internal/job/handover.go
+++ b/internal/job/handover.go
@@ -13,8 +13,8 @@
 // store in calm: 20 ends over three daemons made 60 calls, and 103 to 107 without a pause.
 const handoverPause = time.Second
 
-// WantedEnd is an end of a job that another daemon has taken and pursues.
-type WantedEnd struct {
+// CancelRequest is an end of a job that another daemon has taken and pursues.
+type CancelRequest struct {
 	Job    string
 	Tenant string
 	// Remaining is for how much longer the end is pursued by whoever took it. An end
@@ -43,7 +43,7 @@
 	if deadline, isBounded := ctx.Deadline(); isBounded {
 		remaining = min(remaining, time.Until(deadline))
 	}
-	s.peers.TellWantedEnd(told, WantedEnd{Job: key.job, Tenant: key.tenant, Remaining: remaining})
+	s.peers.NotifyCancelRequest(told, CancelRequest{Job: key.job, Tenant: key.tenant, Remaining: remaining})
 }
 
 // openClaim returns the claim on a job that is known to be accepted and not over: its own,
@@ -58,11 +58,11 @@
 	return found.claim, isClaimed
 }
 
-// HeardWantedEnd takes an end that another daemon has taken: it holds the job's items
+// HandleCancelRequest takes an end that another daemon has taken: it holds the job's items
 // and is pursued here too. An end that lives in one daemon's memory alone is lost if that
 // daemon is killed while the store turns it away, and the job would run on: 100 of 100
 // items that waited for room were sent then.
-func (s *Service) HeardWantedEnd(wanted WantedEnd) {
+func (s *Service) HandleCancelRequest(wanted CancelRequest) {
 	key := endingKey{job: wanted.Job, tenant: wanted.Tenant}
 	if wanted.Remaining <= 0 {
 		return
--- a/internal/job/handover_test.go
+++ b/internal/job/handover_test.go
@@ -26,14 +26,14 @@
 	t.Helper()
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	require.Error(t, at.Of(tenant).End(left, id))
+	require.Error(t, at.Of(tenant).Cancel(left, id))
 }
 
 // kill ends a daemon, and waits until it calls the store no more for ends.
 func (d *daemon) kill(t *testing.T) {
 	t.Helper()
 	d.cancel()
-	d.AwaitEnds(t.Context())
+	d.AwaitCancellations(t.Context())
 }
 
 // requireKnown waits until a daemon has heard of all claims.
@@ -152,9 +152,9 @@
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireKnown(t, store, owner, taker)
 	taker.peers.reach(owner)
-	require.Error(t, taker.Of("other").End(t.Context(), "j1"))
+	require.Error(t, taker.Of("other").Cancel(t.Context(), "j1"))
 	require.Zero(t, owner.EndsUnderWay(), "the end was told")
-	owner.HeardWantedEnd(job.WantedEnd{Job: "j1", Tenant: "other", Remaining: time.Minute})
+	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Tenant: "other", Remaining: time.Minute})
 	owner.backends.Put(room(100))
 	require.Eventually(t, func() bool { return runner.total() == 20 }, patience, pollTime, "items were held for another tenant")
 	require.Eventually(t, func() bool { return owner.EndsUnderWay() == 0 }, patience, pollTime)
@@ -169,9 +169,9 @@
 	owner := startDaemon(t, "a", store, runner)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
 	store.SetDecide(throttleCommits)
-	owner.HeardWantedEnd(job.WantedEnd{Job: "j1"})
+	owner.HandleCancelRequest(job.CancelRequest{Job: "j1"})
 	require.Zero(t, owner.EndsUnderWay(), "an end whose time is over was taken")
-	owner.HeardWantedEnd(job.WantedEnd{Job: "j1", Remaining: 2 * time.Second})
+	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Remaining: 2 * time.Second})
 	require.Equal(t, 1, owner.EndsUnderWay())
 	require.Eventually(t, func() bool { return owner.EndsUnderWay() == 0 }, patience, pollTime)
 	store.SetDecide(nil)
@@ -185,7 +185,7 @@
 	runner.pause = time.Minute
 	owner := startDaemon(t, "a", store, runner)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
-	owner.HeardWantedEnd(job.WantedEnd{Job: "j1", Remaining: time.Minute})
+	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Remaining: time.Minute})
 	require.NoError(t, owner.End(t.Context(), "j1"))
 	require.Zero(t, owner.Owned())
 }
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -31,12 +31,12 @@
 type Peers interface {
 	// Liveness tells whether the daemon is alive in that incarnation.
 	Liveness(name string, incarnation int64) Liveness
-	// TellEnded tells a daemon, without waiting, that the claim of this version on a job
+	// NotifyClaimRemoved tells a daemon, without waiting, that the claim of this version on a job
 	// that it owned was removed.
-	TellEnded(owner, job string, version table.Version)
-	// TellWantedEnd tells a daemon, without waiting, that the end of a job which it owns
+	NotifyClaimRemoved(owner, job string, version table.Version)
+	// NotifyCancelRequest tells a daemon, without waiting, that the end of a job which it owns
 	// is wanted and not done yet.
-	TellWantedEnd(owner string, wanted WantedEnd)
+	NotifyCancelRequest(owner string, wanted CancelRequest)
 	// Successor is the daemon that should take over the key if this one is gone; empty
 	// means that none is known.
 	Successor(key string) string
--- a/internal/job/waiting.go
+++ b/internal/job/waiting.go
@@ -198,7 +198,7 @@
 			continue
 		}
 		waiting := held.waitingTokens()
-		if held.isSettlementDue(found, waiting, s.quota.IsPressed(found.name), now) {
+		if held.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
 			operation := quota.Operation{Kind: quota.KindSettle, Job: held.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: held.claim.claim.Epoch}
 			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: held})
 		}
--- a/internal/neighborhood/neighborhood.go
+++ b/internal/neighborhood/neighborhood.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// WholeFleet is the largest fleet in which every daemon has to do with all others and
+	// FullMeshLimit is the largest fleet in which every daemon has to do with all others and
 	// does for itself what a few daemons of a zone do for the others in a larger one. At
 	// 40 daemons a daemon reads 100 messages a second.
-	WholeFleet = 40
+	FullMeshLimit = 40
 	// upstreamFollowers is how many daemons one upstream serves at most, and
 	// leastUpstreams how many upstreams a zone has at least: when one is lost, its
 	// followers move to the others.
 	upstreamFollowers = 32
 	leastUpstreams    = 2
-	// mostNeighbors bounds those who are told of each change.
-	mostNeighbors = 2 * WholeFleet
-	// sharingSpread is by how many standard deviations more daemons than the mean may know
+	// maxNeighbors bounds those who are told of each change.
+	maxNeighbors = 2 * FullMeshLimit
+	// sharingDeviations is by how many standard deviations more daemons than the mean may know
 	// a backend: places are drawn.
-	sharingSpread = 4
+	sharingDeviations = 4
 	// reachMargin widens the own section when others are sought that share a part of
 	// it: theirs may be wider.
 	reachMargin = 1.5
 )
 
-// Place is where a daemon's section of the backends begins, from 0 to below 1 of the
+// RingPosition is where a daemon's section of the backends begins, from 0 to below 1 of the
 // ring. Daemons are spread over the ring whatever their names and zones.
-func Place(daemon string) float64 {
+func RingPosition(daemon string) float64 {
 	return float64(xxhash.Sum64String("section/"+daemon)) / math.MaxUint64 * (1 - 1e-9)
 }
 
-// Distance is the way between two places, the shorter one around the ring.
-func Distance(a, b float64) float64 {
+// RingDistance is the way between two places, the shorter one around the ring.
+func RingDistance(a, b float64) float64 {
 	apart := math.Abs(a - b)
 	return min(apart, 1-apart)
 }
@@ -49,9 +49,9 @@
 // it if its section has a width, a part of the ring: the nearest ones of them where there
 // are too many to be told directly.
 func Neighbors(daemon string, width float64, daemons []string) []string {
-	own, found := Place(daemon), []neighbor{}
+	own, found := RingPosition(daemon), []neighbor{}
 	for _, other := range daemons {
-		distance := Distance(own, Place(other))
+		distance := RingDistance(own, RingPosition(other))
 		if other != daemon && distance <= width*reachMargin {
 			found = append(found, neighbor{name: other, distance: distance})
 		}
@@ -59,8 +59,8 @@
 	slices.SortFunc(found, func(a, b neighbor) int {
 		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.name, b.name))
 	})
-	names := make([]string, 0, min(len(found), mostNeighbors))
-	for _, each := range found[:min(len(found), mostNeighbors)] {
+	names := make([]string, 0, min(len(found), maxNeighbors))
+	for _, each := range found[:min(len(found), maxNeighbors)] {
 		names = append(names, each.name)
 	}
 	return names
@@ -72,15 +72,15 @@
 	distance float64
 }
 
-// Sharing is how many daemons of a fleet send to the same backend, at most, where each
+// MaxDaemonsPerBackend is how many daemons of a fleet send to the same backend, at most, where each
 // knows a section of a width.
-func Sharing(width float64, daemons int) int {
+func MaxDaemonsPerBackend(width float64, daemons int) int {
 	expected := width * float64(daemons)
-	return min(daemons, int(math.Ceil(expected+sharingSpread*math.Sqrt(expected)))+1)
+	return min(daemons, int(math.Ceil(expected+sharingDeviations*math.Sqrt(expected)))+1)
 }
 
-// Upstreams is how many daemons of a zone follow the store for the others.
-func Upstreams(daemonsOfZone int) int {
+// UpstreamCount is how many daemons of a zone follow the store for the others.
+func UpstreamCount(daemonsOfZone int) int {
 	needed := (daemonsOfZone + upstreamFollowers - 1) / upstreamFollowers
 	return max(needed, leastUpstreams)
 }
--- a/internal/quarantine/livecheck.go
+++ b/internal/quarantine/livecheck.go
@@ -12,6 +12,6 @@
 // nothing.
 const LiveCheckTimeout = 500 * time.Millisecond
 
-// TellsEnd reports whether the failure to connect to a backend tells that its
+// IndicatesExit reports whether the failure to connect to a backend tells that its
 // process has ended: its machine answers that nothing listens there.
-func TellsEnd(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IndicatesExit(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -21,8 +21,8 @@
 	keeperRest     = 2 * time.Second
 	// pressedShare is the share of the limit from which on owners tell at once
 	// what ended, and pressedTime how long that holds.
-	pressedShare = 0.5
-	pressedTime  = 5 * time.Second
+	pressedShare  = 0.5
+	nearLimitTime = 5 * time.Second
 	// announceInterval is the shortest time between two announcements.
 	announceInterval = time.Second
 	// settleTime is how long owners that were told just now need to settle.
@@ -33,9 +33,9 @@
 
 // Peers reaches the other daemons.
 type Peers interface {
-	// Keeper returns the address of the daemon that commits for an account, and
+	// Coordinator returns the address of the daemon that commits for an account, and
 	// whether it is this one.
-	Keeper(account string) (address string, isSelf bool)
+	Coordinator(account string) (address string, isSelf bool)
 	// Apply asks another daemon to commit operations.
 	Apply(ctx context.Context, address string, request Request) (Answer, error)
 	// Announce tells all daemons that an account is near its limit.
@@ -52,19 +52,19 @@
 
 	mutex   sync.Mutex
 	ledgers map[string]*ledger
-	// pressedSince, pressedAt and announcedAt are by account, avoided by a
+	// nearLimitSince, pressedAt and announcedAt are by account, avoided by a
 	// keeper's address.
-	pressedSince map[string]time.Time
-	pressedAt    map[string]time.Time
-	announcedAt  map[string]time.Time
-	avoided      map[string]time.Time
+	nearLimitSince map[string]time.Time
+	nearLimitAt    map[string]time.Time
+	announcedAt    map[string]time.Time
+	avoided        map[string]time.Time
 }
 
 // NewAccounts returns accounts over a store.
 func NewAccounts(store Store, peers Peers, metrics *telemetry.Quota, log *slog.Logger) *Accounts {
 	return &Accounts{
 		store: store, peers: peers, metrics: metrics, log: log, ledgers: map[string]*ledger{},
-		pressedSince: map[string]time.Time{}, pressedAt: map[string]time.Time{}, announcedAt: map[string]time.Time{}, avoided: map[string]time.Time{},
+		nearLimitSince: map[string]time.Time{}, nearLimitAt: map[string]time.Time{}, announcedAt: map[string]time.Time{}, avoided: map[string]time.Time{},
 	}
 }
 
@@ -75,7 +75,7 @@
 func (a *Accounts) Reserve(ctx context.Context, account string, limit Limit, job string, tokens int64, holder string) (isNew bool, err error) {
 	operations := []Operation{{Kind: KindReserve, Job: job, Tokens: tokens, Holder: holder}}
 	started := time.Now()
-	wasPressed := a.isPressedFor(account, settleTime)
+	wasPressed := a.isNearLimitFor(account, settleTime)
 	outcome, err := a.applyOne(ctx, account, limit, operations)
 	if err != nil || outcome.IsGranted {
 		return outcome.IsNew, err
@@ -117,7 +117,7 @@
 }
 
 func (a *Accounts) commit(ctx context.Context, account string, limit Limit, operations []Operation) ([]Outcome, error) {
-	address, isSelf := a.peers.Keeper(account)
+	address, isSelf := a.peers.Coordinator(account)
 	isReserved := isReservation(operations)
 	if isSelf || (isReserved && a.isAvoided(address)) {
 		return a.ledger(account).apply(ctx, limit, operations)
@@ -198,28 +198,28 @@
 	if mustAnnounce {
 		a.peers.Announce(account)
 	}
-	a.Press(account, now)
+	a.MarkNearLimit(account, now)
 }
 
-// Press notes that an account is near its limit.
-func (a *Accounts) Press(account string, now time.Time) {
+// MarkNearLimit notes that an account is near its limit.
+func (a *Accounts) MarkNearLimit(account string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if now.Sub(a.pressedAt[account]) > pressedTime {
-		a.pressedSince[account] = now
+	if now.Sub(a.nearLimitAt[account]) > nearLimitTime {
+		a.nearLimitSince[account] = now
 	}
-	a.pressedAt[account] = now
+	a.nearLimitAt[account] = now
 }
 
-// IsPressed reports whether owners should settle at once.
-func (a *Accounts) IsPressed(account string) bool { return a.isPressedFor(account, 0) }
+// IsNearLimit reports whether owners should settle at once.
+func (a *Accounts) IsNearLimit(account string) bool { return a.isNearLimitFor(account, 0) }
 
-// isPressedFor reports whether an account has been near its limit for a while.
-func (a *Accounts) isPressedFor(account string, least time.Duration) bool {
+// isNearLimitFor reports whether an account has been near its limit for a while.
+func (a *Accounts) isNearLimitFor(account string, least time.Duration) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := time.Now()
-	return now.Sub(a.pressedAt[account]) <= pressedTime && now.Sub(a.pressedSince[account]) >= least
+	return now.Sub(a.nearLimitAt[account]) <= nearLimitTime && now.Sub(a.nearLimitSince[account]) >= least
 }
 
 // Reservations lists an account's reservations.
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -183,8 +183,8 @@
 	err       error
 }
 
-func (p *keeperPeers) Keeper(string) (string, bool) { return "keeper", p.isSelf }
-func (p *keeperPeers) Announce(string)              { p.announced++ }
+func (p *keeperPeers) Coordinator(string) (string, bool) { return "keeper", p.isSelf }
+func (p *keeperPeers) Announce(string)                   { p.announced++ }
 func (p *keeperPeers) Apply(ctx context.Context, _ string, request Request) (Answer, error) {
 	if p.err != nil {
 		return Answer{}, p.err
--- a/internal/quota/return_test.go
+++ b/internal/quota/return_test.go
@@ -91,8 +91,8 @@
 	asked int
 }
 
-func (p *countingKeeper) Keeper(string) (string, bool) { return "keeper", false }
-func (p *countingKeeper) Announce(string)              {}
+func (p *countingKeeper) Coordinator(string) (string, bool) { return "keeper", false }
+func (p *countingKeeper) Announce(string)                   {}
 func (p *countingKeeper) Apply(ctx context.Context, _ string, request Request) (Answer, error) {
 	p.asked++
 	if p.err != nil {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -199,8 +199,8 @@
 		return false
 	}
 	r.isHeard = true
-	r.best.IsAdmitted, r.best.RetryAfter, r.best.Keeper = answer.IsGranted, wait, keeper.Name
-	r.best.Level, r.best.Config, r.best.Source = answer.Level, answer.Config, SourceKeeper
+	r.best.IsAdmitted, r.best.RetryAfter, r.best.Coordinator = answer.IsGranted, wait, keeper.Name
+	r.best.Level, r.best.Config, r.best.Source = answer.Level, answer.Config, SourceCoordinator
 	if answer.IsStandIn {
 		r.best.Source = SourceStandIn
 	}
@@ -258,7 +258,7 @@
 	wait := time.Duration(answer.WaitMilliseconds) * time.Millisecond
 	return Decision{
 		IsAdmitted: answer.IsGranted, RetryAfter: min(wait, retryAfterAlone),
-		Source: SourceShare, Keeper: l.fleet.Self(), Level: answer.Level, Config: answer.Config,
+		Source: SourceShare, Coordinator: l.fleet.Self(), Level: answer.Level, Config: answer.Config,
 	}
 }
 
@@ -294,7 +294,7 @@
 		l.applyAlone(operation, name, limit, order, l.now())
 		return
 	}
-	rank := order.rank(made.Keeper)
+	rank := order.rank(made.Coordinator)
 	if rank < 0 {
 		return // no keeper any more: its bucket counts no longer
 	}
@@ -302,7 +302,7 @@
 		bounded, cancel := context.WithTimeout(context.Background(), tellPatience)
 		defer cancel()
 		if _, err := l.ask(bounded, order.daemons[rank], request); err != nil {
-			l.log.Info("limit_not_told", "tenant", name, "keeper", made.Keeper, "operation", int(operation), "error", err)
+			l.log.Info("limit_not_told", "tenant", name, "keeper", made.Coordinator, "operation", int(operation), "error", err)
 		}
 	}()
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -153,7 +153,7 @@
 		limited := New(learningFleet{knownAt: knownAt}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
 		made := limited.Admit(t.Context(), "t", limitOf(10))
 		require.True(t, made.IsAdmitted)
-		require.Equal(t, SourceKeeper, made.Source)
+		require.Equal(t, SourceCoordinator, made.Source)
 		require.WithinDuration(t, knownAt, time.Now(), 2*fleetPoll)
 	})
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -72,8 +72,8 @@
 const (
 	// SourceUnlimited tells that the tenant has no limit.
 	SourceUnlimited Source = "unlimited"
-	// SourceKeeper tells that the keeper of a part decided.
-	SourceKeeper Source = "keeper"
+	// SourceCoordinator tells that the keeper of a part decided.
+	SourceCoordinator Source = "keeper"
 	// SourceStandIn tells that a daemon decided in place of a silent keeper.
 	SourceStandIn Source = "stand_in"
 	// SourceShare tells that no keeper could be asked, and that this daemon
@@ -90,8 +90,8 @@
 	// RetryAfter is when the limit will have room for a refused request.
 	RetryAfter time.Duration
 	Source     Source
-	// Keeper is the daemon that decided.
-	Keeper string
+	// Coordinator is the daemon that decided.
+	Coordinator string
 	// Level is how many requests the part of the limit had room for, before the
 	// decision.
 	Level float64
--- a/internal/serving/admit.go
+++ b/internal/serving/admit.go
@@ -29,7 +29,7 @@
 	made := e.admission
 	e.core.Logger.Info("request_limited", "id", e.request.ID, "tenant", e.request.Tenant.Name, "outcome", e.outcome,
 		"per_second", e.request.Tenant.Limit.PerSecond, "burst", e.request.Tenant.Limit.Burst, "config", made.Config,
-		"source", string(made.Source), "keeper", made.Keeper, "level", made.Level, "asked", made.Asked, "silent", made.Silent,
+		"source", string(made.Source), "keeper", made.Coordinator, "level", made.Level, "asked", made.Asked, "silent", made.Silent,
 		"retry_after_ms", made.RetryAfter.Milliseconds(), "took_ms", made.Took.Milliseconds())
 	return false
 }
--- a/internal/serving/await.go
+++ b/internal/serving/await.go
@@ -48,8 +48,8 @@
 	started := time.Now()
 	defer func() { e.waited += time.Since(started) }()
 	inTimeUntil := e.inTimeUntil(started)
-	waits := e.core.Backends.Await(e.request.Service, inTimeUntil)
-	defer waits.Leave()
+	waits := e.core.Backends.TrackWaiting(e.request.Service, inTimeUntil)
+	defer waits.Done()
 	latest := e.request.Arrived.Add(min(e.request.Route.Objective*queueAfter, longestAwait))
 	asked := 0
 	for e.awaitTurn(ctx, inTimeUntil, latest) {
@@ -87,14 +87,14 @@
 	if !e.core.OrdersWaiting || e.lastEvent > 0 || e.ran.MayHaveRun() {
 		return false
 	}
-	fleet := e.core.Backends.FleetSums(e.request.Service, time.Now())
-	if !fleet.IsCrowded(e.request.Route.Objective) || e.mayPreempt() {
+	fleet := e.core.Backends.FleetQueueStats(e.request.Service, time.Now())
+	if !fleet.IsOverloaded(e.request.Route.Objective) || e.mayPreempt() {
 		return false
 	}
-	e.turnedAway = min(max(fleet.Backlog(), retryAfterFull), longestComeBack)
+	e.turnedAway = min(max(fleet.DrainTime(), retryAfterFull), longestComeBack)
 	e.core.Metrics.TurnedAway.WithLabelValues(e.request.Service).Inc()
-	e.core.Logger.Info("request_turned_away", "id", e.request.ID, "service", e.request.Service, "fleet_in_time", fleet.InTime,
-		"fleet_late", fleet.Late, "fleet_freed", fleet.Freed, "retry_after_ms", e.turnedAway.Milliseconds(), "unplaced", e.unplaced)
+	e.core.Logger.Info("request_turned_away", "id", e.request.ID, "service", e.request.Service, "fleet_in_time", fleet.OnTime,
+		"fleet_late", fleet.Overdue, "fleet_freed", fleet.FreedSlots, "retry_after_ms", e.turnedAway.Milliseconds(), "unplaced", e.unplaced)
 	return true
 }
 
@@ -109,7 +109,7 @@
 	if e.lastEvent > 0 {
 		from = now
 	}
-	return from.Add(objective - e.core.Backends.Lead(e.request.Service, objective))
+	return from.Add(objective - e.core.Backends.FirstOutputTime(e.request.Service, objective))
 }
 
 // awaitTurn waits until the request may ask again, or until the latest moment. It
@@ -122,14 +122,14 @@
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		nap := min(left, waiting.LatePause)
+		nap := min(left, waiting.OverduePause)
 		if rest := latest.Sub(now); rest < nap {
 			return periodic.Sleep(ctx, max(rest, 0))
 		}
 		if !periodic.SleepAbout(ctx, nap) {
 			return false
 		}
-		if left <= waiting.LatePause {
+		if left <= waiting.OverduePause {
 			return true
 		}
 	}
@@ -137,11 +137,11 @@
 
 // askPause is the pause before the next question.
 func (e *exchange) askPause(now, inTimeUntil time.Time) time.Duration {
-	request := waiting.Request{Left: inTimeUntil.Sub(now)}
-	if !e.core.OrdersWaiting || !request.IsLate() {
-		return waiting.PauseAlone(request)
+	request := waiting.Request{Remaining: inTimeUntil.Sub(now)}
+	if !e.core.OrdersWaiting || !request.IsOverdue() {
+		return waiting.PauseWithoutStats(request)
 	}
-	fleet := e.core.Backends.FleetSums(e.request.Service, now)
+	fleet := e.core.Backends.FleetQueueStats(e.request.Service, now)
 	pause := waiting.Pause(request, fleet)
 	if !e.isBehind {
 		e.noteBehind(request, fleet, pause)
@@ -150,11 +150,11 @@
 }
 
 // noteBehind logs once that the request makes way for those in time.
-func (e *exchange) noteBehind(request waiting.Request, fleet waiting.Sums, pause time.Duration) {
+func (e *exchange) noteBehind(request waiting.Request, fleet waiting.Stats, pause time.Duration) {
 	e.isBehind = true
 	e.core.Metrics.Behind.WithLabelValues(e.request.Service).Inc()
-	e.core.Logger.Info("request_behind", "id", e.request.ID, "service", e.request.Service, "late_ms", -request.Left.Milliseconds(),
-		"fleet_in_time", fleet.InTime, "fleet_late", fleet.Late, "fleet_freed", fleet.Freed, "pause_ms", pause.Milliseconds(), "unplaced", e.unplaced)
+	e.core.Logger.Info("request_behind", "id", e.request.ID, "service", e.request.Service, "late_ms", -request.Remaining.Milliseconds(),
+		"fleet_in_time", fleet.OnTime, "fleet_late", fleet.Overdue, "fleet_freed", fleet.FreedSlots, "pause_ms", pause.Milliseconds(), "unplaced", e.unplaced)
 }
 
 // mayPreempt reports whether batch items are known where the request would go: they give
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -218,7 +218,7 @@
 	}
 	defer answer.Close()
 	if report, told := answer.Load(); told {
-		e.core.Backends.Reported(e.last.Incarnation(), report, time.Now())
+		e.core.Backends.RecordReport(e.last.Incarnation(), report, time.Now())
 	}
 	if answer.Head().Events && answer.Head().Successful() {
 		err = e.relay(answer, lease, watched)
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -111,7 +111,7 @@
 	e.begun = true
 	e.firstAt = time.Now()
 	if !e.placedAt.IsZero() {
-		e.core.Backends.Answered(e.request.Service, e.firstAt.Sub(e.placedAt))
+		e.core.Backends.ObserveFirstOutput(e.request.Service, e.firstAt.Sub(e.placedAt))
 	}
 	return e.responder.Begin(answer.Head())
 }
--- a/internal/waiting/lead.go
+++ b/internal/waiting/lead.go
@@ -6,12 +6,12 @@
 // seconds of one daemon's requests, change it.
 const leadWeight = 0.1
 
-// Lead is the learned time from a place to the first output of an answer. The zero
+// FirstOutputTime is the learned time from a place to the first output of an answer. The zero
 // value is ready for use; it is not safe for concurrent use.
-type Lead struct{ mean time.Duration }
+type FirstOutputTime struct{ mean time.Duration }
 
 // Add learns from one answer.
-func (l *Lead) Add(taken time.Duration) {
+func (l *FirstOutputTime) Add(taken time.Duration) {
 	if l.mean == 0 {
 		l.mean = taken
 		return
@@ -22,4 +22,6 @@
 // Within returns the time to be kept for the answer of a request with that objective:
 // half of it at most, so that slow answers never make a request late that has just
 // come.
-func (l *Lead) Within(objective time.Duration) time.Duration { return min(l.mean, objective/2) }
+func (l *FirstOutputTime) Within(objective time.Duration) time.Duration {
+	return min(l.mean, objective/2)
+}
--- a/internal/waiting/load_test.go
+++ b/internal/waiting/load_test.go
@@ -34,17 +34,19 @@
 // way is how requests wait: how long between two questions, and whether one that has
 // waited for long is told that it gets no place; else it queues at a backend.
 type way struct {
-	pause        func(request waiting.Request, fleet waiting.Sums) time.Duration
-	isTurnedAway func(fleet waiting.Sums) bool
+	pause        func(request waiting.Request, fleet waiting.Stats) time.Duration
+	isTurnedAway func(fleet waiting.Stats) bool
 }
 
 var (
 	// alone is how requests wait that know nothing of each other.
 	alone = way{
-		pause:        func(request waiting.Request, _ waiting.Sums) time.Duration { return waiting.PauseAlone(request) },
-		isTurnedAway: func(waiting.Sums) bool { return false },
+		pause: func(request waiting.Request, _ waiting.Stats) time.Duration {
+			return waiting.PauseWithoutStats(request)
+		},
+		isTurnedAway: func(waiting.Stats) bool { return false },
 	}
-	ordered = way{pause: waiting.Pause, isTurnedAway: func(fleet waiting.Sums) bool { return fleet.IsCrowded(objective) }}
+	ordered = way{pause: waiting.Pause, isTurnedAway: func(fleet waiting.Stats) bool { return fleet.IsOverloaded(objective) }}
 )
 
 // outcome is what became of the requests that came during the overload, and of the
@@ -70,8 +72,8 @@
 	queues  [backends][]*caller
 	ends    [backends][]time.Duration
 	freed   waiting.Rate
-	lead    waiting.Lead
-	told    []waiting.Sums
+	lead    waiting.FirstOutputTime
+	told    []waiting.Stats
 	result  outcome
 	steps   int
 	empty   float64
@@ -158,7 +160,7 @@
 		return true
 	}
 	until := each.arrived + objective - l.lead.Within(objective)
-	pause := l.way.pause(waiting.Request{Left: until - l.now}, l.told[0])
+	pause := l.way.pause(waiting.Request{Remaining: until - l.now}, l.told[0])
 	if each.firstLeft > 0 {
 		each.firstLeft--
 		pause = 2 * time.Millisecond
@@ -205,13 +207,13 @@
 
 // tell keeps the sums of each step; the oldest kept is the newest that all know.
 func (l *load) tell() {
-	sums := waiting.Sums{Freed: l.freed.Count(l.at())}
+	sums := waiting.Stats{FreedSlots: l.freed.Count(l.at())}
 	for _, each := range l.waiting {
 		if l.now < each.arrived+objective-l.lead.Within(objective) {
-			sums.InTime++
+			sums.OnTime++
 			continue
 		}
-		sums.Late++
+		sums.Overdue++
 	}
 	l.told = append(l.told, sums)
 	if len(l.told) > int(l.age/time.Millisecond) {
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -51,14 +51,14 @@
 func TestLateNeverAsksMoreOften(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.IntRange(-5, 5000)
-		fleet := waiting.Sums{InTime: draw.Draw(t, "in time"), Late: draw.Draw(t, "late"), Freed: draw.Draw(t, "freed")}
-		inTime := waiting.Request{Left: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
-		late := waiting.Request{Left: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
-		require.Equal(t, waiting.PauseAlone(inTime), waiting.Pause(inTime, fleet))
+		fleet := waiting.Stats{OnTime: draw.Draw(t, "in time"), Overdue: draw.Draw(t, "late"), FreedSlots: draw.Draw(t, "freed")}
+		inTime := waiting.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
+		late := waiting.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
+		require.Equal(t, waiting.PauseWithoutStats(inTime), waiting.Pause(inTime, fleet))
 		require.GreaterOrEqual(t, waiting.Pause(late, fleet), waiting.Pause(inTime, fleet))
-		if fleet.Freed <= 0 {
-			require.Equal(t, waiting.PauseAlone(late), waiting.Pause(late, fleet))
-			require.False(t, fleet.IsCrowded(objective))
+		if fleet.FreedSlots <= 0 {
+			require.Equal(t, waiting.PauseWithoutStats(late), waiting.Pause(late, fleet))
+			require.False(t, fleet.IsOverloaded(objective))
 		}
 	})
 }
@@ -67,8 +67,8 @@
 // free, and hardly ever while those in time ask for all.
 func TestLateTakesTheRoomThatNobodyInTimeWants(t *testing.T) {
 	late := waiting.Request{}
-	require.Equal(t, waiting.LongestPause, waiting.Pause(late, waiting.Sums{Late: 20, Freed: 700}))
-	require.Greater(t, waiting.Pause(late, waiting.Sums{InTime: 200, Late: 500, Freed: 700}), time.Second)
+	require.Equal(t, waiting.LongestPause, waiting.Pause(late, waiting.Stats{Overdue: 20, FreedSlots: 700}))
+	require.Greater(t, waiting.Pause(late, waiting.Stats{OnTime: 200, Overdue: 500, FreedSlots: 700}), time.Second)
 }
 
 // TestRateCountsTheLastSecond.
@@ -87,7 +87,7 @@
 
 // TestLeadLeavesHalfOfTheObjective: answers that got slow make no request late at once.
 func TestLeadLeavesHalfOfTheObjective(t *testing.T) {
-	var lead waiting.Lead
+	var lead waiting.FirstOutputTime
 	require.Zero(t, lead.Within(objective))
 	for range 50 {
 		lead.Add(60 * time.Millisecond)
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// turnTime is the length of a turn. Any second meets five turns at most.
-	turnTime = 250 * time.Millisecond
+	// windowTime is the length of a turn. Any second meets five turns at most.
+	windowTime = 250 * time.Millisecond
 	// safeShare is the part of a backend's rate that is given out. Any second meets a
 	// quarter more than its own turns, and daemons on both sides of a cut give all seats
 	// out: together they send 2 x 1.25 x 0.6 = 1.5 times the rate at most.
 	safeShare = 0.6
 )
 
-// Turn numbers spans of time alike on all daemons, as far as their clocks agree.
-type Turn int64
+// Window numbers spans of time alike on all daemons, as far as their clocks agree.
+type Window int64
 
-// TurnAt returns the turn of a moment.
-func TurnAt(now time.Time) Turn { return Turn(now.UnixNano() / int64(turnTime)) }
+// WindowAt returns the turn of a moment.
+func WindowAt(now time.Time) Window { return Window(now.UnixNano() / int64(windowTime)) }
 
-// seats is how many requests all daemons together may send in a turn to a backend that
+// fleetAllowance is how many requests all daemons together may send in a turn to a backend that
 // bears so many a second. Parts of a seat add up over the turns.
-func seats(perSecond float64, turn Turn) int {
-	perTurn := perSecond * safeShare * turnTime.Seconds()
-	until := func(turn Turn) float64 { return math.Floor(float64(turn%turnCycle) * perTurn) }
-	return int(until(turn%turnCycle+1) - until(turn))
+func fleetAllowance(perSecond float64, turn Window) int {
+	perTurn := perSecond * safeShare * windowTime.Seconds()
+	until := func(turn Window) float64 { return math.Floor(float64(turn%windowCycle) * perTurn) }
+	return int(until(turn%windowCycle+1) - until(turn))
 }
 
-// turnCycle bounds the numbers that are multiplied, so that parts of a seat are exact.
-const turnCycle = 1 << 20
+// windowCycle bounds the numbers that are multiplied, so that parts of a seat are exact.
+const windowCycle = 1 << 20
 
-// Seats returns how many requests a daemon may send to a backend in a turn. The backend
+// Allowance returns how many requests a daemon may send to a backend in a turn. The backend
 // is named by its life, so that each life has its own draw.
-func Seats(daemon string, daemons []string, backend string, perSecond float64, turn Turn) int {
+func Allowance(daemon string, daemons []string, backend string, perSecond float64, turn Window) int {
 	own := 0
-	for seat := range seats(perSecond, turn) {
+	for seat := range fleetAllowance(perSecond, turn) {
 		key := backend + "/" + strconv.FormatInt(int64(turn), 10) + "/" + strconv.Itoa(seat)
 		if duty.Owner(key, daemons) == daemon {
 			own++
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -28,12 +28,12 @@
 
 // sentInTurns is what all daemons, each with the view of its side, send to a backend by
 // turn if they use every seat.
-func sentInTurns(sides [][]string, backend string, first warmup.Turn, count int) []int {
+func sentInTurns(sides [][]string, backend string, first warmup.Window, count int) []int {
 	sent := make([]int, count)
 	for index := range sent {
 		for _, side := range sides {
 			for _, name := range side {
-				sent[index] += warmup.Seats(name, side, backend, coldRate, first+warmup.Turn(index))
+				sent[index] += warmup.Allowance(name, side, backend, coldRate, first+warmup.Window(index))
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 // 79 daemons send all that they may, on one side of a cut or on two.
 func TestColdBackendsStayWithinWhatTheyBear(t *testing.T) {
 	all := daemons(79)
-	first := warmup.TurnAt(time.Unix(1_700_000_000, 0))
+	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
 	for name, sides := range map[string][][]string{"whole": {all}, "cut": {all[:26], all[26:]}, "one daemon": {all[:1]}} {
 		for backend := range 20 {
 			sent := sentInTurns(sides, fmt.Sprint("backend-", backend), first, 24)
@@ -69,7 +69,7 @@
 // TestColdBackendsAreFilled: what they bear is used, up to the share that is given out.
 func TestColdBackendsAreFilled(t *testing.T) {
 	const turns, turnsASecond = 40, 4
-	first := warmup.TurnAt(time.Unix(1_700_000_000, 0))
+	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
 	total := 0
 	for _, each := range sentInTurns([][]string{daemons(79)}, "backend", first, turns) {
 		total += each
@@ -80,12 +80,12 @@
 // TestSeatsSpreadOverDaemons: no daemon has the seats of many backends at once.
 func TestSeatsSpreadOverDaemons(t *testing.T) {
 	all := daemons(79)
-	first := warmup.TurnAt(time.Unix(1_700_000_000, 0))
+	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
 	for _, name := range all {
 		own := 0
 		for backend := range 20 {
-			for turn := range warmup.Turn(8) {
-				own += warmup.Seats(name, all, fmt.Sprint("backend-", backend), coldRate, first+turn)
+			for turn := range warmup.Window(8) {
+				own += warmup.Allowance(name, all, fmt.Sprint("backend-", backend), coldRate, first+turn)
 			}
 		}
 		require.Less(t, own, 20)
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -1,20 +1,20 @@
 # Mechanisms of the order of waiting.
 mutant waiting_late_asks_as_before internal/waiting/waiting.go \
-	'if !request.IsLate() || fleet.Freed <= 0 {' 'if true {' internal/waiting TestTooLittleRoomGoesToThoseInTime
+	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/waiting TestTooLittleRoomGoesToThoseInTime
 mutant waiting_no_late_share internal/waiting/waiting.go \
-	'late := max(wanted-others, (wanted+others)*lateShare)' 'late := wanted + others' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
+	'late := max(wanted-others, (wanted+others)*overdueShare)' 'late := wanted + others' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
 mutant waiting_never_crowded internal/waiting/waiting.go \
-	'return s.Wait() > time.Duration(float64(objective)*crowdedShare)' 'return false' internal/waiting TestTooLittleRoomGoesToThoseInTime
+	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/waiting TestTooLittleRoomGoesToThoseInTime
 mutant waiting_late_hurries internal/waiting/waiting.go \
-	'return max(pause, LongestPause)' 'return max(pause, LatePause)' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
+	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
 mutant waiting_alone internal/serving/await.go \
-	'pause := waiting.Pause(request, fleet)' 'pause := waiting.PauseAlone(request)' internal/serving TestLateRequestMakesWay
+	'pause := waiting.Pause(request, fleet)' 'pause := waiting.PauseWithoutStats(request)' internal/serving TestLateRequestMakesWay
 mutant waiting_queues_in_the_end internal/serving/await.go \
 	'if ctx.Err() == nil && e.isTurnedAway() {' 'if false {' internal/serving TestLateRequestMakesWay
 mutant waiting_turns_streams_away internal/serving/await.go \
 	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.ran.MayHaveRun() {' internal/serving TestInterruptedStreamIsNotLate
 mutant waiting_before_batch internal/serving/await.go \
-	'if !fleet.IsCrowded(e.request.Route.Objective) || e.mayPreempt() {' 'if !fleet.IsCrowded(e.request.Route.Objective) {' internal/serving TestBatchItemsGiveWayBeforeAnyoneIsTurnedAway
+	'if !fleet.IsOverloaded(e.request.Route.Objective) || e.mayPreempt() {' 'if !fleet.IsOverloaded(e.request.Route.Objective) {' internal/serving TestBatchItemsGiveWayBeforeAnyoneIsTurnedAway
 mutant waiting_turns_runs_away internal/serving/await.go \
 	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.lastEvent > 0 {' internal/serving TestRequestThatMayHaveRunIsNotTurnedAway
 mutant waiting_switch internal/serving/await.go \
@@ -26,10 +26,10 @@
 mutant waiting_own_sums_told_back internal/exchange/message.go \
 	'sumsWithout(l.sums, part.sums)' 'l.sums' internal/exchange TestRelaySumsWhatWaits
 mutant waiting_never_leaves internal/backend/waiting.go \
-	'delete(w.set.wait(w.service).inTimeUntil, w)' '' internal/backend TestSumsOfWhatWaits
+	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestSumsOfWhatWaits
 mutant waiting_nothing_freed internal/backend/lease.go \
 	'	if hadPlace {' '	if hadPlace && false {' internal/backend TestSumsOfWhatWaits
 mutant waiting_peers_kept internal/backend/waiting.go \
-	'delete(s.sumsElsewhere, peer)' '' internal/backend TestSumsOfWhatWaits
+	'delete(s.peerQueueStats, peer)' '' internal/backend TestSumsOfWhatWaits
 mutant waiting_refused_frees_places internal/backend/lease.go \
 	'	if hadPlace {' '	if hadPlace || true {' internal/backend TestSumsOfWhatWaits
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -11,7 +11,7 @@
 mutant cold_entries_ignored internal/backend/backend.go \
 	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackendGetsItsSeats
 mutant seats_not_counted internal/backend/closed.go \
-	'known.seats.taken++' '_ = known' internal/backend TestColdBackendGetsItsSeats
+	'known.coldAllowance.sent++' '_ = known' internal/backend TestColdBackendGetsItsSeats
 mutant reopened_zone_is_warm internal/backend/closed.go \
 	's.closing.reopened[zone] = now' '_ = now' internal/backend TestReopenedZoneIsTakenForCold
 mutant pace_by_daemon internal/warmup/warmup.go \
