--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"topazpulley/internal/routing"
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // Instance is a backend as discovery lists it.
@@ -142,7 +142,7 @@
 	// waits is what waits here by service, and sumsElsewhere what waits at other
 	// daemons by who told.
 	waits          map[string]*serviceWait
-	peerQueueStats map[string]map[string]waiting.Stats
+	peerQueueStats map[string]map[string]slotqueue.Stats
 	// propagation is the time until other daemons know of a change here.
 	propagation time.Duration
 	closing     closing
@@ -157,7 +157,7 @@
 		unsentFailures: map[Incarnation]int{}, births: newBirths(), peerWaiting: map[string]int{}, propagation: assumedPropagation,
 		preemptions: make(chan string, preemptQueue), ownPreemptions: make(chan string, preemptQueue),
 		connected: func() map[Incarnation]bool { return nil }, closing: newClosing(),
-		waits: map[string]*serviceWait{}, peerQueueStats: map[string]map[string]waiting.Stats{},
+		waits: map[string]*serviceWait{}, peerQueueStats: map[string]map[string]slotqueue.Stats{},
 	}
 }
 
--- a/internal/backend/waiting.go
+++ b/internal/backend/waiting.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // serviceWait is what waits for places of one service, here and elsewhere. Set.mutex
@@ -12,8 +12,8 @@
 	// onTimeUntil is, by online request that waits here, until when it can be in time.
 	onTimeUntil map[*WaitingRequest]time.Time
 	// freed counts the places that requests and items of this daemon freed.
-	freed           waiting.Rate
-	firstOutputTime waiting.FirstOutputTime
+	freed           slotqueue.Rate
+	firstOutputTime slotqueue.FirstOutputTime
 }
 
 // WaitingRequest is one online request that waits for a place.
@@ -50,8 +50,8 @@
 }
 
 // stats are this daemon's own.
-func (w *serviceWait) stats(now time.Time) waiting.Stats {
-	found := waiting.Stats{FreedSlots: w.freed.Count(now)}
+func (w *serviceWait) stats(now time.Time) slotqueue.Stats {
+	found := slotqueue.Stats{FreedSlots: w.freed.Count(now)}
 	for _, until := range w.onTimeUntil {
 		if now.Before(until) {
 			found.OnTime++
@@ -64,12 +64,12 @@
 
 // OwnQueueStats returns by service what waits at this daemon, without services for which
 // nothing waits and no place came free.
-func (s *Set) OwnQueueStats(now time.Time) map[string]waiting.Stats {
+func (s *Set) OwnQueueStats(now time.Time) map[string]slotqueue.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found := map[string]waiting.Stats{}
+	found := map[string]slotqueue.Stats{}
 	for service, known := range s.waits {
-		if own := known.stats(now); own != (waiting.Stats{}) {
+		if own := known.stats(now); own != (slotqueue.Stats{}) {
 			found[service] = own
 		}
 	}
@@ -78,7 +78,7 @@
 
 // FleetQueueStats returns what waits for a service at all daemons: here now, elsewhere as it
 // was last told.
-func (s *Set) FleetQueueStats(service string, now time.Time) waiting.Stats {
+func (s *Set) FleetQueueStats(service string, now time.Time) slotqueue.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	total := s.wait(service).stats(now)
@@ -90,7 +90,7 @@
 
 // SetPeerQueueStats replaces what waits at another daemon, by service. A nil map forgets the
 // daemon.
-func (s *Set) SetPeerQueueStats(peer string, told map[string]waiting.Stats) {
+func (s *Set) SetPeerQueueStats(peer string, told map[string]slotqueue.Stats) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if told == nil {
--- a/internal/backend/waiting_test.go
+++ b/internal/backend/waiting_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // TestSumsOfWhatWaits: requests here count as in time until their moment, then as late,
@@ -28,14 +28,14 @@
 	lease.Release()
 	lease.Release()
 	now = time.Now()
-	require.Equal(t, map[string]waiting.Stats{"s": {OnTime: 2, FreedSlots: 1}}, set.OwnQueueStats(now))
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 2, FreedSlots: 1}}, set.OwnQueueStats(now))
 	now = now.Add(2 * time.Second)
-	require.Equal(t, map[string]waiting.Stats{"s": {OnTime: 1, Overdue: 1}}, set.OwnQueueStats(now))
-	set.SetPeerQueueStats("a", map[string]waiting.Stats{"s": {OnTime: 3, Overdue: 4, FreedSlots: 5}, "other": {Overdue: 9}})
-	set.SetPeerQueueStats("b", map[string]waiting.Stats{"s": {OnTime: 10}})
-	require.Equal(t, waiting.Stats{OnTime: 14, Overdue: 5, FreedSlots: 5}, set.FleetQueueStats("s", now))
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 1, Overdue: 1}}, set.OwnQueueStats(now))
+	set.SetPeerQueueStats("a", map[string]slotqueue.Stats{"s": {OnTime: 3, Overdue: 4, FreedSlots: 5}, "other": {Overdue: 9}})
+	set.SetPeerQueueStats("b", map[string]slotqueue.Stats{"s": {OnTime: 10}})
+	require.Equal(t, slotqueue.Stats{OnTime: 14, Overdue: 5, FreedSlots: 5}, set.FleetQueueStats("s", now))
 	set.SetPeerQueueStats("a", nil)
-	require.Equal(t, waiting.Stats{OnTime: 11, Overdue: 1}, set.FleetQueueStats("s", now))
+	require.Equal(t, slotqueue.Stats{OnTime: 11, Overdue: 1}, set.FleetQueueStats("s", now))
 	first.Done()
 	second.Done()
 	require.Empty(t, set.OwnQueueStats(now))
--- a/internal/batchroom/room_test.go
+++ b/internal/batchcapacity/capacity_test.go
@@ -1,4 +1,4 @@
-package batchroom
+package batchcapacity
 
 import (
 	"testing"
@@ -12,8 +12,8 @@
 	sight    = 300 * time.Millisecond
 )
 
-func decide(policy Policy, load Load, demand *Demand, itemTime time.Duration) Room {
-	return Decide(policy, Sight{Load: load, Demand: demand, ItemTime: itemTime, Age: sight})
+func decide(policy Policy, load Load, demand *Demand, itemTime time.Duration) Capacity {
+	return Decide(policy, Observation{Load: load, Demand: demand, ItemTime: itemTime, Age: sight})
 }
 
 // fleet is a load of 90 backends.
@@ -28,16 +28,16 @@
 	burst := fleet(540, 140)
 	for _, policy := range []Policy{PolicyFree, PolicyOnce} {
 		room := decide(policy, burst, &Demand{}, itemTime)
-		require.Equal(t, slots, room.Now)
-		require.Equal(t, slots, room.Lasting)
+		require.Equal(t, slots, room.Urgent)
+		require.Equal(t, slots, room.Deferrable)
 	}
 	room := decide(PolicyReserve, burst, &Demand{}, itemTime)
-	require.Equal(t, slots, room.Now)
-	require.Zero(t, room.Lasting)
-	require.Greater(t, decide(PolicyReserve, fleet(110, 140), &Demand{}, itemTime).Lasting, 350)
-	require.Equal(t, 720, decide(PolicyReserve, fleet(0, 0), &Demand{}, itemTime).Lasting)
+	require.Equal(t, slots, room.Urgent)
+	require.Zero(t, room.Deferrable)
+	require.Greater(t, decide(PolicyReserve, fleet(110, 140), &Demand{}, itemTime).Deferrable, 350)
+	require.Equal(t, 720, decide(PolicyReserve, fleet(0, 0), &Demand{}, itemTime).Deferrable)
 	small := Load{Backends: 3, Slots: 12, Online: 1, Batch: 2}
-	require.Equal(t, 8, decide(PolicyReserve, small, &Demand{}, itemTime).Lasting)
+	require.Equal(t, 8, decide(PolicyReserve, small, &Demand{}, itemTime).Deferrable)
 }
 
 // TestItemsThatCanWaitLeaveRoomForTheBurst that the rhythm brings; those that cannot
@@ -47,13 +47,13 @@
 	rhythm := bursts(110, 480, period, burst)
 	before := demandOf(rhythm, 3*period-burst-500*time.Millisecond, 1)
 	load := fleet(110, 250)
-	room := decide(PolicyRhythm, load, before, itemTime)
+	room := decide(PolicyPeriodic, load, before, itemTime)
 	require.InDelta(t, period.Seconds(), room.Period.Seconds(), 0.15)
-	require.Zero(t, room.Lasting)
-	require.Greater(t, room.Now, 300)
+	require.Zero(t, room.Deferrable)
+	require.Greater(t, room.Urgent, 300)
 	behind := demandOf(rhythm, 3*period+300*time.Millisecond, 1)
-	room = decide(PolicyRhythm, fleet(110, 140), behind, itemTime)
-	require.Greater(t, room.Lasting, 50)
+	room = decide(PolicyPeriodic, fleet(110, 140), behind, itemTime)
+	require.Greater(t, room.Deferrable, 50)
 }
 
 // TestShortItemsEndBeforeTheBurst, so that they need not wait for it.
@@ -61,18 +61,18 @@
 	const period, burst = 6 * time.Second, 2400 * time.Millisecond
 	demand := demandOf(bursts(110, 540, period, burst), 2*period+time.Second, 1)
 	load := fleet(110, 100)
-	require.Greater(t, decide(PolicyRhythm, load, demand, time.Second).Lasting, 400)
+	require.Greater(t, decide(PolicyPeriodic, load, demand, time.Second).Deferrable, 400)
 }
 
 // TestItemsWithTimeToSpareWait and others do not, nor does any when so much waits that
 // room left empty would make items late.
 func TestItemsWithTimeToSpareWait(t *testing.T) {
 	const spare = 5 * time.Second
-	backlog := Backlog{Waiting: 60, Places: 240, ItemTime: itemTime}
-	require.False(t, MustRun(Timing{UntilDue: 18 * time.Second, Left: 6 * time.Second, Spare: spare}, backlog))
-	require.True(t, MustRun(Timing{UntilDue: 11 * time.Second, Left: 6 * time.Second, Spare: spare}, backlog))
+	backlog := Backlog{Waiting: 60, MeanSlots: 240, ItemTime: itemTime}
+	require.False(t, MustRun(Timing{UntilDue: 18 * time.Second, Remaining: 6 * time.Second, Spare: spare}, backlog))
+	require.True(t, MustRun(Timing{UntilDue: 11 * time.Second, Remaining: 6 * time.Second, Spare: spare}, backlog))
 	backlog.Waiting = 400
-	require.True(t, MustRun(Timing{UntilDue: time.Minute, Left: 6 * time.Second, Spare: spare}, backlog))
+	require.True(t, MustRun(Timing{UntilDue: time.Minute, Remaining: 6 * time.Second, Spare: spare}, backlog))
 }
 
 // TestPlacesForBatchAreTheMeanOverBursts: neither a burst nor a valley alone tells how fast
@@ -81,7 +81,7 @@
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 500, period, burst), 3*period, 1)
 	const meanOnline = 240
-	places := decide(PolicyRhythm, fleet(500, 130), demand, itemTime).Places
+	places := decide(PolicyPeriodic, fleet(500, 130), demand, itemTime).MeanSlots
 	require.InDelta(t, slots-meanOnline-keptFree(fleet(meanOnline, 0)), places, 15)
-	require.InDelta(t, places, decide(PolicyRhythm, fleet(110, 130), demand, itemTime).Places, 1)
+	require.InDelta(t, places, decide(PolicyPeriodic, fleet(110, 130), demand, itemTime).MeanSlots, 1)
 }
--- a/internal/batchroom/demand.go
+++ b/internal/batchcapacity/demand.go
@@ -1,8 +1,8 @@
-// Package batchroom decides how many batch items a fleet's backends should run beside
+// Package batchcapacity decides how many batch items a fleet's backends should run beside
 // online requests: how much room batch has now and through the next burst, whether
 // online demand comes in a rhythm, and which items wait for their turn. It is pure: it
 // works from the load that a daemon sees, and is told the time.
-package batchroom
+package batchcapacity
 
 import (
 	"math"
@@ -180,7 +180,7 @@
 	end := len(d.levels)
 	late, early := d.levels[end-lag:], d.levels[end-2*lag:end-lag]
 	leastSwing := leastSwing * float64(d.slots)
-	if swing(late) <= leastSwing || swing(early) <= leastSwing || turns(d.levels[end-2*lag:]) < rhythmTurns {
+	if swing(late) <= leastSwing || swing(early) <= leastSwing || turns(d.levels[end-2*lag:]) < minPeriodTurns {
 		return 0
 	}
 	return correlation(late, early)
@@ -200,10 +200,10 @@
 
 func swing(levels []float64) float64 { return slices.Max(levels) - slices.Min(levels) }
 
-// rhythmTurns is how often demand goes from low to high or back in two periods at
+// minPeriodTurns is how often demand goes from low to high or back in two periods at
 // least. A jump or a slow rise does so once, a single burst twice, and each is like
 // itself a while before.
-const rhythmTurns = 3
+const minPeriodTurns = 3
 
 // turns counts how often levels go from their lowest quarter to their highest or back.
 func turns(levels []float64) int {
--- a/internal/batchroom/demand_test.go
+++ b/internal/batchcapacity/demand_test.go
@@ -1,4 +1,4 @@
-package batchroom
+package batchcapacity
 
 import (
 	"math"
--- a/internal/batchroom/giveway_test.go
+++ b/internal/batchcapacity/excess_test.go
@@ -1,4 +1,4 @@
-package batchroom
+package batchcapacity
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 )
 
 func excess(load Load, demand *Demand) int {
-	return Excess(Sight{Load: load, Demand: demand, Age: sight})
+	return ExcessItems(Observation{Load: load, Demand: demand, Age: sight})
 }
 
 // TestItemsStayWhereRequestsFindPlaces by asking on: with a tenth of the slots free the
--- a/internal/exchange/audience.go
+++ b/internal/exchange/audience.go
@@ -5,7 +5,7 @@
 
 	"topazpulley/internal/duty"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
+	"topazpulley/internal/topology"
 )
 
 const (
@@ -38,7 +38,7 @@
 // happens elsewhere does not concern it.
 func audienceOf(self membership.Member, members []membership.Member, directLimit int, section section) audience {
 	if section.isPart && len(members) > directLimit {
-		return audience{members: neighborhood.Neighbors(self.Name, section.width, namesOf(members))}
+		return audience{members: topology.Neighbors(self.Name, section.width, namesOf(members))}
 	}
 	names := map[string][]string{}
 	for _, member := range members {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -17,8 +17,8 @@
 	"topazpulley/internal/backend"
 	"topazpulley/internal/cluster"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/periodic"
+	"topazpulley/internal/topology"
 )
 
 // Keys of the hints, before the name of the daemon or zone that they tell of.
@@ -89,7 +89,7 @@
 
 // New returns an exchange. It subscribes to the node, which must not run yet.
 func New(node *cluster.Node, backends *backend.Set, log *slog.Logger) *Exchange {
-	made := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: neighborhood.FullMeshLimit, Section: func() (float64, bool) { return 1, false }, heard: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	made := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: topology.FullMeshLimit, Section: func() (float64, bool) { return 1, false }, heard: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	node.Subscribe(made.receive)
 	return made
 }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -8,7 +8,7 @@
 
 	"topazpulley/internal/avrocodec"
 	"topazpulley/internal/backend"
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // loads is what daemons have in flight and what waits at them.
@@ -18,7 +18,7 @@
 	// waiting is the number of batch items that wait for a backend.
 	waiting int
 	// sums is what online requests wait for, by service.
-	sums map[string]waiting.Stats
+	sums map[string]slotqueue.Stats
 }
 
 // add counts further work.
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -10,7 +10,7 @@
 
 	"topazpulley/internal/backend"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
+	"topazpulley/internal/topology"
 )
 
 func work(online int) loads {
@@ -97,10 +97,10 @@
 // TestEveryZoneHasRelaysThatAllAgreeOn, that reach every daemon of their zone,
 // and the relays of each other zone.
 func TestEveryZoneHasRelaysThatAllAgreeOn(t *testing.T) {
-	members := fleet(neighborhood.FullMeshLimit + 5)
+	members := fleet(topology.FullMeshLimit + 5)
 	relays := map[string][]string{}
 	for _, self := range members {
-		found := audienceOf(self, members, neighborhood.FullMeshLimit, section{})
+		found := audienceOf(self, members, topology.FullMeshLimit, section{})
 		require.True(t, found.isRelayed)
 		require.Empty(t, found.members)
 		require.Len(t, found.relays, relaysPerZone)
@@ -110,7 +110,7 @@
 		require.Equal(t, relays[self.Zone], found.relays)
 	}
 	for _, self := range members {
-		found := audienceOf(self, members, neighborhood.FullMeshLimit, section{})
+		found := audienceOf(self, members, topology.FullMeshLimit, section{})
 		if !found.isRelay(self.Name) {
 			require.Empty(t, found.zone)
 			require.Empty(t, found.zoneRelays)
@@ -126,10 +126,10 @@
 
 // TestSmallFleetsTellAllDirectly.
 func TestSmallFleetsTellAllDirectly(t *testing.T) {
-	members := fleet(neighborhood.FullMeshLimit)
-	found := audienceOf(members[0], members, neighborhood.FullMeshLimit, section{})
+	members := fleet(topology.FullMeshLimit)
+	found := audienceOf(members[0], members, topology.FullMeshLimit, section{})
 	require.False(t, found.isRelayed)
-	require.Len(t, found.members, neighborhood.FullMeshLimit-1)
+	require.Len(t, found.members, topology.FullMeshLimit-1)
 }
 
 // TestLoadsSurviveTheWire.
@@ -152,13 +152,13 @@
 func TestLargeFleetsTellNeighbors(t *testing.T) {
 	for _, size := range []int{300, 900} {
 		members := fleet(size)
-		found := audienceOf(members[0], members, neighborhood.FullMeshLimit, section{width: 6 / float64(size), isPart: true})
+		found := audienceOf(members[0], members, topology.FullMeshLimit, section{width: 6 / float64(size), isPart: true})
 		require.False(t, found.isRelayed)
 		require.Empty(t, found.relays)
 		require.NotEmpty(t, found.members)
-		require.Less(t, len(found.members), neighborhood.FullMeshLimit)
+		require.Less(t, len(found.members), topology.FullMeshLimit)
 	}
 	small := fleet(10)
-	found := audienceOf(small[0], small, neighborhood.FullMeshLimit, section{width: 0.001, isPart: true})
+	found := audienceOf(small[0], small, topology.FullMeshLimit, section{width: 0.001, isPart: true})
 	require.Len(t, found.members, 9, "a small fleet tells all")
 }
--- a/internal/exchange/sums.go
+++ b/internal/exchange/sums.go
@@ -3,7 +3,7 @@
 import (
 	"maps"
 
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // sumsRecord is what waits for places of one service.
@@ -15,10 +15,10 @@
 }
 
 // addSums returns the sums of both by service, without those of nothing.
-func addSums(one, other map[string]waiting.Stats) map[string]waiting.Stats {
+func addSums(one, other map[string]slotqueue.Stats) map[string]slotqueue.Stats {
 	total := maps.Clone(one)
 	if total == nil {
-		total = map[string]waiting.Stats{}
+		total = map[string]slotqueue.Stats{}
 	}
 	for service, sums := range other {
 		total[service] = total[service].Plus(sums)
@@ -27,17 +27,17 @@
 }
 
 // sumsWithout takes a part out of sums by service, without those of nothing.
-func sumsWithout(total, part map[string]waiting.Stats) map[string]waiting.Stats {
-	left := make(map[string]waiting.Stats, len(total))
+func sumsWithout(total, part map[string]slotqueue.Stats) map[string]slotqueue.Stats {
+	left := make(map[string]slotqueue.Stats, len(total))
 	for service, sums := range total {
-		if rest := sums.Minus(part[service]); rest != (waiting.Stats{}) {
+		if rest := sums.Minus(part[service]); rest != (slotqueue.Stats{}) {
 			left[service] = rest
 		}
 	}
 	return left
 }
 
-func recordsOf(sums map[string]waiting.Stats) []sumsRecord {
+func recordsOf(sums map[string]slotqueue.Stats) []sumsRecord {
 	records := make([]sumsRecord, 0, len(sums))
 	for service, each := range sums {
 		records = append(records, sumsRecord{Service: service, InTime: each.OnTime, Late: each.Overdue, Freed: each.FreedSlots})
@@ -46,13 +46,13 @@
 }
 
 // sumsOf returns sums by service; nil if none are told.
-func sumsOf(records []sumsRecord) map[string]waiting.Stats {
+func sumsOf(records []sumsRecord) map[string]slotqueue.Stats {
 	if len(records) == 0 {
 		return nil
 	}
-	sums := make(map[string]waiting.Stats, len(records))
+	sums := make(map[string]slotqueue.Stats, len(records))
 	for _, each := range records {
-		sums[each.Service] = waiting.Stats{OnTime: each.InTime, Overdue: each.Late, FreedSlots: each.Freed}
+		sums[each.Service] = slotqueue.Stats{OnTime: each.InTime, Overdue: each.Late, FreedSlots: each.Freed}
 	}
 	return sums
 }
--- a/internal/exchange/sums_test.go
+++ b/internal/exchange/sums_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // withoutSums is the schema of messages of daemons that tell no sums.
@@ -25,7 +25,7 @@
 // TestSumsSurviveTheWire, and messages of daemons that tell none are read as before.
 func TestSumsSurviveTheWire(t *testing.T) {
 	sent := loads{inFlight: map[string]backend.PeerLoad{"one": {Online: 1}}, waiting: 7,
-		sums: map[string]waiting.Stats{"s": {OnTime: 1, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 4}}}
+		sums: map[string]slotqueue.Stats{"s": {OnTime: 1, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 4}}}
 	payload, err := encode(sent, news{})
 	require.NoError(t, err)
 	got, _, err := decode(payload)
@@ -45,18 +45,18 @@
 
 // TestRelaySumsWhatWaits: a daemon is told what waits at all others, and not at itself.
 func TestRelaySumsWhatWaits(t *testing.T) {
-	told := func(service string, sums waiting.Stats) loads {
-		return loads{inFlight: map[string]backend.PeerLoad{}, sums: map[string]waiting.Stats{service: sums}}
+	told := func(service string, sums slotqueue.Stats) loads {
+		return loads{inFlight: map[string]backend.PeerLoad{}, sums: map[string]slotqueue.Stats{service: sums}}
 	}
 	gathered, now := newRelay(), time.Now()
-	gathered.noteMember("a", told("s", waiting.Stats{OnTime: 1, Overdue: 2, FreedSlots: 3}), news{}, now)
-	gathered.noteMember("b", told("s", waiting.Stats{OnTime: 10}), news{}, now)
-	gathered.noteMember("c", told("other", waiting.Stats{Overdue: 5}), news{}, now)
-	gathered.noteZone("far", told("s", waiting.Stats{OnTime: 100, FreedSlots: 200}), news{}, now)
+	gathered.noteMember("a", told("s", slotqueue.Stats{OnTime: 1, Overdue: 2, FreedSlots: 3}), news{}, now)
+	gathered.noteMember("b", told("s", slotqueue.Stats{OnTime: 10}), news{}, now)
+	gathered.noteMember("c", told("other", slotqueue.Stats{Overdue: 5}), news{}, now)
+	gathered.noteZone("far", told("s", slotqueue.Stats{OnTime: 100, FreedSlots: 200}), news{}, now)
 	total := gathered.fleetTotal()
-	require.Equal(t, map[string]waiting.Stats{"s": {OnTime: 110, FreedSlots: 200}, "other": {Overdue: 5}}, gathered.othersOf("a", total).sums)
-	require.Equal(t, map[string]waiting.Stats{"s": {OnTime: 111, Overdue: 2, FreedSlots: 203}}, gathered.othersOf("c", total).sums)
-	require.Equal(t, map[string]waiting.Stats{"s": {OnTime: 11, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 5}}, gathered.zoneTotal().sums)
-	require.False(t, told("s", waiting.Stats{Overdue: 1}).isEmpty())
-	require.False(t, told("s", waiting.Stats{Overdue: 1}).equal(told("s", waiting.Stats{Overdue: 2})))
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 110, FreedSlots: 200}, "other": {Overdue: 5}}, gathered.othersOf("a", total).sums)
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 111, Overdue: 2, FreedSlots: 203}}, gathered.othersOf("c", total).sums)
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 11, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 5}}, gathered.zoneTotal().sums)
+	require.False(t, told("s", slotqueue.Stats{Overdue: 1}).isEmpty())
+	require.False(t, told("s", slotqueue.Stats{Overdue: 1}).equal(told("s", slotqueue.Stats{Overdue: 2})))
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,20 +16,20 @@
 	"topazpulley/internal/boottime"
 	"topazpulley/internal/cluster"
 	"topazpulley/internal/exchange"
-	"topazpulley/internal/holding"
 	"topazpulley/internal/job"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/peer"
 	"topazpulley/internal/quarantine"
 	"topazpulley/internal/quota"
 	"topazpulley/internal/ratelimit"
+	"topazpulley/internal/responsetimeout"
 	"topazpulley/internal/route"
 	"topazpulley/internal/serving"
 	"topazpulley/internal/settings"
-	"topazpulley/internal/silence"
+	"topazpulley/internal/submissionbuffer"
 	"topazpulley/internal/table"
 	"topazpulley/internal/telemetry"
+	"topazpulley/internal/topology"
 	"topazpulley/internal/warmup"
 )
 
@@ -159,7 +159,7 @@
 	f.Core = serving.NewCore(f.Backends, sender, f.Holder, metrics.Serving, log, f.sharingDaemons)
 	f.Core.Wakeups = boottime.NewWakeups(nil, log)
 	f.Core.Zone = process.Zone
-	f.Core.Patience = silence.NewBook(silence.Mode(process.SilencePatience))
+	f.Core.Patience = responsetimeout.NewEstimates(responsetimeout.Mode(process.ResponseTimeouts))
 	f.Core.OrdersWaiting = process.WaitingOrder == settings.WaitingOrderFleet
 	f.Core.Quarantine = f.Quarantine
 	f.limitFleet = ratelimit.NewClusterFleet(f.node, f.transport)
@@ -172,10 +172,10 @@
 	claims.Deferred = f.defersClaims(time.Now())
 	f.ClaimsAge = claims.Age
 	f.Jobs = job.NewService(job.Dependencies{
-		Availability: holdingBy(process, availability), Holding: holding.LimitsOf(process.MemoryMegabytes, process.HeldSubmissionsShare),
+		Availability: holdingBy(process, availability), SubmissionLimits: submissionbuffer.LimitsOf(process.MemoryMegabytes, process.HeldSubmissionsShare),
 		Self: job.Self{Name: self.Name, Incarnation: self.Incarnation}, Store: f.store, Backends: f.Backends, Sender: sender,
-		Holder: f.Holder, Peers: peers{node: f.node, transport: f.transport, log: log}, Metrics: metrics.Serving, Logger: log, Connections: f.Core.ConnectionShare, Settling: settlingTime,
-		Quota: accounts, Zone: process.Zone, BatchRoom: process.BatchRoom, Quarantine: f.Quarantine, ClaimsAge: claims.Age,
+		Holder: f.Holder, Peers: peers{node: f.node, transport: f.transport, log: log}, Metrics: metrics.Serving, Logger: log, Connections: f.Core.ConnectionShare, SettlingTime: settlingTime,
+		Quota: accounts, Zone: process.Zone, BatchCapacity: process.BatchCapacity, Quarantine: f.Quarantine, ClaimsAge: claims.Age,
 	})
 	claims.Consumer = f.Jobs
 	listenForEnds(f.transport, f.Jobs)
@@ -297,7 +297,7 @@
 	if !isPart {
 		return f.Members()
 	}
-	return neighborhood.MaxDaemonsPerBackend(width, f.Members())
+	return topology.MaxDaemonsPerBackend(width, f.Members())
 }
 
 // claimsDeferral is how long a daemon of a large fleet that starts waits for an upstream
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -12,11 +12,11 @@
 	"topazpulley/internal/duty"
 	"topazpulley/internal/job"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/peer"
 	"topazpulley/internal/periodic"
 	"topazpulley/internal/ratelimit"
 	"topazpulley/internal/table"
+	"topazpulley/internal/topology"
 )
 
 // peers tells the job service which daemons are alive, and them of ends.
@@ -95,7 +95,7 @@
 	pause := rejoinPause
 	for !f.writeAddress(ctx) && periodic.SleepAbout(ctx, pause) {
 		pause = min(2*pause, longestRegisterPause)
-		if found := f.Members(); found > neighborhood.FullMeshLimit {
+		if found := f.Members(); found > topology.FullMeshLimit {
 			periodic.Sleep(ctx, rand.N(time.Duration(found)*registerSpread))
 		}
 	}
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/route"
 	"topazpulley/internal/table"
+	"topazpulley/internal/topology"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 func newSectionPlan(daemon string, ports Ports, holder *route.Holder, backends *backend.Set, log *slog.Logger) *sectionPlan {
 	return &sectionPlan{
-		place: neighborhood.RingPosition(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
+		place: topology.RingPosition(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
 	}
 }
 
--- a/internal/frontend/upstream.go
+++ b/internal/frontend/upstream.go
@@ -14,9 +14,9 @@
 	"topazpulley/internal/duty"
 	"topazpulley/internal/failure"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/peer"
 	"topazpulley/internal/table"
+	"topazpulley/internal/topology"
 )
 
 const (
@@ -138,7 +138,7 @@
 	}
 	u.chosenAt = now
 	if generation := u.node.Generation(); generation != u.chosenOf {
-		u.chosen, u.chosenOf = upstreamsOf(u.self.Zone, u.node.Members(), neighborhood.FullMeshLimit), generation
+		u.chosen, u.chosenOf = upstreamsOf(u.self.Zone, u.node.Members(), topology.FullMeshLimit), generation
 	}
 	return u.chosen
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	found := []membership.Member{}
-	for _, name := range duty.Owners("table-upstream/"+zone, names, neighborhood.UpstreamCount(len(names))) {
+	for _, name := range duty.Owners("table-upstream/"+zone, names, topology.UpstreamCount(len(names))) {
 		found = append(found, byName[name])
 	}
 	return found
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -13,10 +13,10 @@
 
 	"topazpulley/internal/boottime"
 	"topazpulley/internal/membership"
-	"topazpulley/internal/neighborhood"
 	"topazpulley/internal/peer"
 	"topazpulley/internal/table"
 	"topazpulley/internal/table/tabletest"
+	"topazpulley/internal/topology"
 )
 
 const (
@@ -40,17 +40,17 @@
 // a suspected daemon is none, and a small fleet has none.
 func TestEachZoneOfALargeFleetHasItsUpstreams(t *testing.T) {
 	members := fleetIn(3, 20)
-	chosen := upstreamsOf("zone-1", members, neighborhood.FullMeshLimit)
-	require.Len(t, chosen, neighborhood.UpstreamCount(20))
+	chosen := upstreamsOf("zone-1", members, topology.FullMeshLimit)
+	require.Len(t, chosen, topology.UpstreamCount(20))
 	for index := range members {
 		if members[index].Name == chosen[0].Name {
 			members[index].State = membership.StateSuspect
 		}
 	}
-	changed := upstreamsOf("zone-1", members, neighborhood.FullMeshLimit)
+	changed := upstreamsOf("zone-1", members, topology.FullMeshLimit)
 	require.Equal(t, chosen[1].Name, changed[0].Name)
-	require.Len(t, changed, neighborhood.UpstreamCount(20))
-	require.Empty(t, upstreamsOf("zone-1", fleetIn(4, 10), neighborhood.FullMeshLimit))
+	require.Len(t, changed, topology.UpstreamCount(20))
+	require.Empty(t, upstreamsOf("zone-1", fleetIn(4, 10), topology.FullMeshLimit))
 }
 
 // newCopy follows a table of a store in memory.
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -12,7 +12,7 @@
 	"topazpulley/internal/failure"
 	"topazpulley/internal/quarantine"
 	"topazpulley/internal/registry"
-	"topazpulley/internal/runs"
+	"topazpulley/internal/runrecord"
 	"topazpulley/internal/serving"
 	"topazpulley/internal/tenant"
 )
@@ -71,7 +71,7 @@
 	attemptID string
 	resumes   int
 	// ran is what is known of whether engines ran the request.
-	ran        runs.Record
+	ran        runrecord.Record
 	excluded   map[string]bool
 	overloaded bool
 	firstToken time.Duration
@@ -310,9 +310,9 @@
 		return n.ran.Refuse(failure.Wrap(cause, failure.KindUnavailable, "stopping", "the daemon is stopping"))
 	}
 	if hasLeft(ctx) {
-		return n.ran.Mark(failure.Wrap(cause, failure.KindCancelled, codeCallerLeft, "the caller closed the connection"))
+		return n.ran.MarkNotRun(failure.Wrap(cause, failure.KindCancelled, codeCallerLeft, "the caller closed the connection"))
 	}
-	return n.ran.Mark(failure.Wrap(cause, failure.KindDeadline, codeDeadlineReached, "the request's deadline passed"))
+	return n.ran.MarkNotRun(failure.Wrap(cause, failure.KindDeadline, codeDeadlineReached, "the request's deadline passed"))
 }
 
 // giveUp makes the final answer of a request that no engine took.
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -110,7 +110,7 @@
 			return err
 		}
 		if !running.progress.add(event) {
-			return &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonSpoiled}
+			return &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonCorrupt}
 		}
 		lease.Started()
 		watched.Feed()
--- a/internal/job/bursts_test.go
+++ b/internal/job/bursts_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/routing"
 )
 
@@ -96,11 +96,11 @@
 	result   played
 }
 
-func newLoadWorld(policy batchroom.Policy, seed uint64) *loadWorld {
+func newLoadWorld(policy batchcapacity.Policy, seed uint64) *loadWorld {
 	world := &loadWorld{arrivals: rand.New(rand.NewPCG(1, seed)), random: rand.New(rand.NewPCG(2, seed)), now: time.Unix(1000, 0)}
 	for index := range uint64(loadOwners) {
 		owner := &loadOwner{age: 100*time.Millisecond + time.Duration(world.random.IntN(300))*time.Millisecond, rooms: newRooms(policy, rand.New(rand.NewPCG(index, seed)))}
-		owner.placer = newPlacer(rand.New(rand.NewPCG(seed, index)), "", func(string, time.Time) batchroom.Room { return world.roomOf(owner) })
+		owner.placer = newPlacer(rand.New(rand.NewPCG(seed, index)), "", func(string, time.Time) batchcapacity.Capacity { return world.roomOf(owner) })
 		world.owners = append(world.owners, owner)
 	}
 	return world
@@ -142,7 +142,7 @@
 	return load
 }
 
-func (w *loadWorld) roomOf(owner *loadOwner) batchroom.Room {
+func (w *loadWorld) roomOf(owner *loadOwner) batchcapacity.Capacity {
 	return owner.rooms.decide(owner.rooms.policy, "s", w.load(owner), loadItemTime, loadPicture)
 }
 
@@ -229,9 +229,9 @@
 }
 
 func (w *loadWorld) place(owner *loadOwner, item *loadItem) {
-	timing := batchroom.Timing{UntilDue: item.due.Sub(w.now), Left: max(item.left, loadItemTime/4), Spare: urgentSlack, Wait: owner.placer.share("s").wait(loadItemTime)}
-	backlog := batchroom.Backlog{Waiting: owner.placer.all, Places: owner.placer.share("s").places, ItemTime: loadItemTime}
-	if owner.placer.isFull("s") || !owner.placer.hasRoom("s", batchroom.MustRun(timing, backlog)) {
+	timing := batchcapacity.Timing{UntilDue: item.due.Sub(w.now), Remaining: max(item.left, loadItemTime/4), Spare: urgentSlack, Wait: owner.placer.share("s").wait(loadItemTime)}
+	backlog := batchcapacity.Backlog{Waiting: owner.placer.all, MeanSlots: owner.placer.share("s").places, ItemTime: loadItemTime}
+	if owner.placer.isFull("s") || !owner.placer.hasRoom("s", batchcapacity.MustRun(timing, backlog)) {
 		return
 	}
 	chosen, found := owner.placer.choose("s", nil, w.candidates(owner))
@@ -333,7 +333,7 @@
 	}
 	item := w.items[index][w.random.IntN(len(w.items[index]))]
 	owner := item.owner
-	if owner.rooms.policy != batchroom.PolicyFree && !owner.rooms.mustGiveWay("s", w.load(owner), len(owner.running), loadPicture, w.now) {
+	if owner.rooms.policy != batchcapacity.PolicyFree && !owner.rooms.mustGiveWay("s", w.load(owner), len(owner.running), loadPicture, w.now) {
 		return
 	}
 	owner.placer.avoid(fmt.Sprint("b", index), w.now.Add(loadPicture))
@@ -378,10 +378,10 @@
 	} {
 		t.Run(each.name, func(t *testing.T) {
 			const jobsPerSecond = loadBackends * loadSlots / 4 / 4.5 / loadJobItems
-			standing := newLoadWorld(batchroom.PolicyFree, 5).play(each.online, jobsPerSecond)
+			standing := newLoadWorld(batchcapacity.PolicyFree, 5).play(each.online, jobsPerSecond)
 			t.Log("standing:", standing)
 			require.Greater(t, standing.cutsPerItem(), max(each.reserve, each.rhythm), "the load tells the ways apart")
-			for policy, most := range map[batchroom.Policy]float64{batchroom.PolicyReserve: each.reserve, batchroom.PolicyRhythm: each.rhythm} {
+			for policy, most := range map[batchcapacity.Policy]float64{batchcapacity.PolicyReserve: each.reserve, batchcapacity.PolicyPeriodic: each.rhythm} {
 				decided := newLoadWorld(policy, 5).play(each.online, jobsPerSecond)
 				t.Log(policy, decided)
 				require.LessOrEqual(t, decided.cutsPerItem(), most)
--- a/internal/job/firstclaims_test.go
+++ b/internal/job/firstclaims_test.go
@@ -21,7 +21,7 @@
 func newUnread(readAt *boottime.Instant) *job.Service {
 	return job.NewService(job.Dependencies{
 		Self: job.Self{Name: "a", Incarnation: 1}, Store: tabletest.NewMemory(), Backends: backend.NewSet(), Sender: newRunners(),
-		Holder: &route.Holder{}, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, Holding: heldInTests,
+		Holder: &route.Holder{}, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, SubmissionLimits: heldInTests,
 		ClaimsAge: func() time.Duration {
 			if *readAt == 0 {
 				return time.Hour
--- a/internal/job/fleet_test.go
+++ b/internal/job/fleet_test.go
@@ -15,11 +15,11 @@
 
 	"topazpulley/internal/backend"
 	"topazpulley/internal/failure"
-	"topazpulley/internal/holding"
 	"topazpulley/internal/job"
 	"topazpulley/internal/quota"
 	"topazpulley/internal/route"
 	"topazpulley/internal/serving"
+	"topazpulley/internal/submissionbuffer"
 	"topazpulley/internal/table"
 	"topazpulley/internal/telemetry"
 )
@@ -32,7 +32,7 @@
 )
 
 // heldInTests bounds the submissions that a daemon of a test holds.
-var heldInTests = holding.Limits{Count: 8, Bytes: 1 << 20}
+var heldInTests = submissionbuffer.Limits{Count: 8, Bytes: 1 << 20}
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -63,7 +63,7 @@
 }
 
 func (r *runners) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
-	if err := attempt.MayLeave(ctx); err != nil {
+	if err := attempt.CheckSendable(ctx); err != nil {
 		return nil, err
 	}
 	r.mutex.Lock()
@@ -284,8 +284,8 @@
 	accounts := quota.NewAccounts(monotonic, alone{}, telemetry.NewQuota(prometheus.NewRegistry()), quiet)
 	started.Service = job.NewService(job.Dependencies{
 		Self: job.Self{Name: name, Incarnation: 1}, Store: monotonic, Backends: backends, Sender: sender, Holder: holder,
-		Peers: started.peers, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, Connections: func(string) int { return 100 }, Settling: settling, Quota: accounts,
-		ClaimsAge: follower.Age, Availability: availability, Holding: heldInTests,
+		Peers: started.peers, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, Connections: func(string) int { return 100 }, SettlingTime: settling, Quota: accounts,
+		ClaimsAge: follower.Age, Availability: availability, SubmissionLimits: heldInTests,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	started.cancel = cancel
--- a/internal/job/held.go
+++ b/internal/job/held.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"topazpulley/internal/failure"
-	"topazpulley/internal/holding"
+	"topazpulley/internal/submissionbuffer"
 )
 
 // Availability tells whether the store answers.
@@ -51,7 +51,7 @@
 	// A daemon that stops must not keep callers longer than it may take to stop.
 	defer context.AfterFunc(s.stopped, cancel)()
 	started := time.Now()
-	leave, isHeld := s.held.Enter(submitted.contentBytes())
+	leave, isHeld := s.held.Add(submitted.contentBytes())
 	switch {
 	case isHeld:
 	case s.availability.Recheck(ctx):
@@ -79,7 +79,7 @@
 		return nil
 	}
 	refused := failure.From(unavailable(&awayError{awayFor: awayFor, heldFor: heldFor}))
-	return refused.WithRetryAfter(holding.ComeBack(awayFor, outcome == holdExpired))
+	return refused.WithRetryAfter(submissionbuffer.RetryAfter(awayFor, outcome == holdExpired))
 }
 
 // isStoreAway reports whether submissions are held.
--- a/internal/job/pacing.go
+++ b/internal/job/pacing.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/routing"
 )
 
@@ -55,7 +55,7 @@
 	quotas map[string]int
 	// roomAt decides how many items all owners together send to a service in a
 	// window, and shares are this owner's part of it.
-	roomAt func(service string, now time.Time) batchroom.Room
+	roomAt func(service string, now time.Time) batchcapacity.Capacity
 	shares map[string]*roomShare
 	// full are the services that had no room in this pass.
 	full map[string]bool
@@ -88,7 +88,7 @@
 	return itemTime
 }
 
-func newPlacer(random *rand.Rand, zone string, roomAt func(string, time.Time) batchroom.Room) *placer {
+func newPlacer(random *rand.Rand, zone string, roomAt func(string, time.Time) batchcapacity.Capacity) *placer {
 	return &placer{random: random, zone: zone, avoided: map[string]time.Time{}, roomAt: roomAt}
 }
 
@@ -126,7 +126,7 @@
 	share, known := p.shares[service]
 	if !known {
 		room := p.roomAt(service, p.now)
-		share = &roomShare{now: shareOf(room.Now, p.own, p.all, p.random), lasting: shareOf(room.Lasting, p.own, p.all, p.random), places: room.Places, untilValley: room.Wait}
+		share = &roomShare{now: shareOf(room.Urgent, p.own, p.all, p.random), lasting: shareOf(room.Deferrable, p.own, p.all, p.random), places: room.MeanSlots, untilValley: room.Wait}
 		p.shares[service] = share
 	}
 	return share
--- a/internal/job/pacing_test.go
+++ b/internal/job/pacing_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/routing"
 )
 
@@ -18,8 +18,8 @@
 const window = 300 * time.Millisecond
 
 // noBound leaves the room to the backends' own slots.
-func noBound(string, time.Time) batchroom.Room {
-	return batchroom.Room{Now: math.MaxInt32, Lasting: math.MaxInt32}
+func noBound(string, time.Time) batchcapacity.Capacity {
+	return batchcapacity.Capacity{Urgent: math.MaxInt32, Deferrable: math.MaxInt32}
 }
 
 // rounds is enough for means to settle.
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -59,7 +59,7 @@
 
 func withheld(reason withheldReason, claimsAge time.Duration) error {
 	return &serving.AttemptError{
-		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonWithheld, Cause: &withheldError{reason: reason, claimsAge: claimsAge},
+		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &withheldError{reason: reason, claimsAge: claimsAge},
 	}
 }
 
--- a/internal/job/room.go
+++ b/internal/job/room.go
@@ -5,17 +5,17 @@
 	"math"
 	"time"
 
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/periodic"
 )
 
 // observeDemand samples the load of the services that run items until the context ends.
 // It goes on while no job is owned: the rhythm of demand takes two periods to show.
 func (s *Service) observeDemand(ctx context.Context) {
-	if s.rooms.policy == batchroom.PolicyFree {
+	if s.rooms.policy == batchcapacity.PolicyFree {
 		return
 	}
-	periodic.Run(ctx, batchroom.SampleInterval, func() {
+	periodic.Run(ctx, batchcapacity.SampleInterval, func() {
 		now := time.Now()
 		for _, service := range s.itemServices() {
 			before, after := s.rooms.note(service, s.backends.ServiceLoad(service, now), now)
@@ -33,7 +33,7 @@
 	if !found {
 		return true
 	}
-	if s.roomPolicy(instance.Service) == batchroom.PolicyFree {
+	if s.roomPolicy(instance.Service) == batchcapacity.PolicyFree {
 		return true
 	}
 	load := s.backends.ServiceLoad(instance.Service, now)
@@ -48,14 +48,14 @@
 // roomPolicy is the policy of the room at a service. Where backends set no places aside,
 // requests do not go on asking but wait at one backend, and items take and leave what
 // slots they can.
-func (s *Service) roomPolicy(service string) batchroom.Policy {
+func (s *Service) roomPolicy(service string) batchcapacity.Policy {
 	current := s.holder.Current()
 	if current == nil {
-		return batchroom.PolicyFree
+		return batchcapacity.PolicyFree
 	}
 	configured, found := current.Service(service)
 	if !found || configured.ReservationTime <= 0 {
-		return batchroom.PolicyFree
+		return batchcapacity.PolicyFree
 	}
 	return s.rooms.policy
 }
@@ -63,7 +63,7 @@
 // isRoomy reports whether requests that ask find places at a service, so that work beyond
 // the slots of one backend is most likely such that only asks there.
 func (s *Service) isRoomy(service string, now time.Time) bool {
-	if s.roomPolicy(service) == batchroom.PolicyFree {
+	if s.roomPolicy(service) == batchcapacity.PolicyFree {
 		return false
 	}
 	return s.rooms.isRoomy(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
@@ -89,16 +89,16 @@
 }
 
 // roomAt decides how many items all owners together send to a service in the next window.
-func (s *Service) roomAt(service string, now time.Time) batchroom.Room {
+func (s *Service) roomAt(service string, now time.Time) batchcapacity.Capacity {
 	load := s.backends.ServiceLoad(service, now)
 	itemTime, policy := s.itemTime(), s.roomPolicy(service)
 	room := s.rooms.decide(policy, service, load, itemTime, s.propagationWindow())
 	room = onlyWhereLess(room, policy, load.Slots-load.Online-load.Batch)
 	waiting := s.placer.all
 	s.metrics.BatchRoom.WithLabelValues(roomLabel(room, waiting)).Inc()
-	if waiting > room.Lasting && s.rooms.mayLog(service, now) {
+	if waiting > room.Deferrable && s.rooms.mayLog(service, now) {
 		s.log.Info("batch_room", "service", service, "policy", string(policy), "slots", load.Slots, "online", load.Online, "batch", load.Batch,
-			"room", room.Lasting, "reserve", room.Reserve, "period_ms", room.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
+			"room", room.Deferrable, "reserve", room.Reserve, "period_ms", room.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
 			"waiting", waiting, "own_waiting", s.placer.own)
 	}
 	return room
@@ -110,19 +110,19 @@
 // onlyWhereLess leaves a bound on the room of a service only where it is below the free
 // slots. Those are shared among owners by backend already; to share the sum as well draws
 // lots twice, by which an owner of one item beside a hundred sent a quarter of what it may.
-func onlyWhereLess(room batchroom.Room, policy batchroom.Policy, free int) batchroom.Room {
-	room.Now = unboundedRoom
-	isBounded := policy == batchroom.PolicyReserve || policy == batchroom.PolicyRhythm
-	if !isBounded || room.Lasting >= free {
-		room.Lasting = unboundedRoom
+func onlyWhereLess(room batchcapacity.Capacity, policy batchcapacity.Policy, free int) batchcapacity.Capacity {
+	room.Urgent = unboundedRoom
+	isBounded := policy == batchcapacity.PolicyReserve || policy == batchcapacity.PolicyPeriodic
+	if !isBounded || room.Deferrable >= free {
+		room.Deferrable = unboundedRoom
 	}
 	return room
 }
 
 // roomLabel names what bounds the items that wait.
-func roomLabel(room batchroom.Room, waiting int) string {
+func roomLabel(room batchcapacity.Capacity, waiting int) string {
 	switch {
-	case waiting <= room.Lasting:
+	case waiting <= room.Deferrable:
 		return "all"
 	case room.Period > 0:
 		return "rhythm"
@@ -141,10 +141,10 @@
 func (s *Service) mustRun(waiting *work, service string, now time.Time) bool {
 	itemTime := s.itemTime()
 	share := s.placer.share(service)
-	timing := batchroom.Timing{
-		UntilDue: waiting.owner.due.Sub(now), Left: max(itemTime-waiting.owner.ranFor(waiting, now), itemTime/4), Spare: urgentSlack,
+	timing := batchcapacity.Timing{
+		UntilDue: waiting.owner.due.Sub(now), Remaining: max(itemTime-waiting.owner.ranFor(waiting, now), itemTime/4), Spare: urgentSlack,
 		Wait: share.wait(itemTime),
 	}
-	backlog := batchroom.Backlog{Waiting: s.placer.all, Places: share.places, ItemTime: itemTime}
-	return batchroom.MustRun(timing, backlog)
+	backlog := batchcapacity.Backlog{Waiting: s.placer.all, MeanSlots: share.places, ItemTime: itemTime}
+	return batchcapacity.MustRun(timing, backlog)
 }
--- a/internal/job/room_test.go
+++ b/internal/job/room_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 )
 
 // askedInWindow has so many requests ask one owner of so many items for their slots before
@@ -28,13 +28,13 @@
 func TestOwnersGiveTheirPartOfAnExcessOnce(t *testing.T) {
 	const owners, own, asked, rounds = 20, 7, mostDeclined, 200
 	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 560, Batch: owners * own}
-	excess := batchroom.Excess(batchroom.Sight{Load: batchroom.Load(load), Demand: &batchroom.Demand{}})
+	excess := batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &batchcapacity.Demand{}})
 	require.Positive(t, excess)
 	random := rand.New(rand.NewPCG(11, 11))
 	given := 0
 	for range rounds {
 		for range owners {
-			given += askedInWindow(newRooms(batchroom.PolicyRhythm, random), load, own, asked, time.Unix(1000, 0))
+			given += askedInWindow(newRooms(batchcapacity.PolicyPeriodic, random), load, own, asked, time.Unix(1000, 0))
 		}
 	}
 	require.InDelta(t, float64(min(excess, owners*asked)), float64(given)/rounds, 4)
@@ -44,7 +44,7 @@
 // and many are not.
 func TestItemsGiveWayToAShortageThatIsNotSeen(t *testing.T) {
 	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 300, Batch: 140}
-	owner, now := newRooms(batchroom.PolicyRhythm, rand.New(rand.NewPCG(12, 12))), time.Unix(1000, 0)
+	owner, now := newRooms(batchcapacity.PolicyPeriodic, rand.New(rand.NewPCG(12, 12))), time.Unix(1000, 0)
 	require.Zero(t, askedInWindow(owner, load, 10, mostDeclined, now))
 	require.Equal(t, 2, askedInWindow(owner, load, 10, 2, now))
 	require.Zero(t, askedInWindow(owner, load, 10, mostDeclined, now.Add(window)))
--- a/internal/job/rooms.go
+++ b/internal/job/rooms.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 )
 
 // roomLogInterval bounds the lines on the room of one service.
@@ -20,7 +20,7 @@
 // rooms decides how many items the fleet's services have room for. It remembers the
 // demand of each service, and what it gave of an excess.
 type rooms struct {
-	policy batchroom.Policy
+	policy batchcapacity.Policy
 	// mutex guards the fields below it.
 	mutex    sync.Mutex
 	services map[string]*serviceRoom
@@ -29,7 +29,7 @@
 
 // serviceRoom is what is known of one service.
 type serviceRoom struct {
-	demand   batchroom.Demand
+	demand   batchcapacity.Demand
 	loggedAt time.Time
 	// given and declined count the items that gave way and those that stayed although a
 	// request asked for their slots, since a time; owed is how many this owner gives.
@@ -38,9 +38,9 @@
 }
 
 // newRooms returns rooms of which nothing is known yet.
-func newRooms(policy batchroom.Policy, random *rand.Rand) *rooms {
+func newRooms(policy batchcapacity.Policy, random *rand.Rand) *rooms {
 	if policy == "" {
-		policy = batchroom.PolicyFree
+		policy = batchcapacity.PolicyFree
 	}
 	return &rooms{policy: policy, services: map[string]*serviceRoom{}, random: random}
 }
@@ -61,17 +61,17 @@
 	defer r.mutex.Unlock()
 	demand := &r.of(service).demand
 	before = demand.Period()
-	demand.Note(batchroom.Load(load), now)
+	demand.Note(batchcapacity.Load(load), now)
 	return before, demand.Period()
 }
 
 // decide returns the room at a service.
-func (r *rooms) decide(policy batchroom.Policy, service string, load backend.ServiceLoad, itemTime, age time.Duration) batchroom.Room {
+func (r *rooms) decide(policy batchcapacity.Policy, service string, load backend.ServiceLoad, itemTime, age time.Duration) batchcapacity.Capacity {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.of(service)
-	return batchroom.Decide(policy, batchroom.Sight{
-		Load: batchroom.Load(load), Demand: &known.demand, ItemTime: itemTime, Age: age,
+	return batchcapacity.Decide(policy, batchcapacity.Observation{
+		Load: batchcapacity.Load(load), Demand: &known.demand, ItemTime: itemTime, Age: age,
 	})
 }
 
@@ -83,7 +83,7 @@
 	defer r.mutex.Unlock()
 	known := r.of(service)
 	if now.Sub(known.since) >= age {
-		excess := batchroom.Excess(batchroom.Sight{Load: batchroom.Load(load), Demand: &known.demand, Age: age})
+		excess := batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &known.demand, Age: age})
 		known.since, known.given, known.declined = now, 0, 0
 		known.owed = shareOf(excess, min(own, load.Batch), load.Batch, r.random)
 	}
@@ -99,7 +99,7 @@
 func (r *rooms) isRoomy(service string, load backend.ServiceLoad, age time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return batchroom.Excess(batchroom.Sight{Load: batchroom.Load(load), Demand: &r.of(service).demand, Age: age}) == 0
+	return batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &r.of(service).demand, Age: age}) == 0
 }
 
 // mayLog reports whether the room of a service may be logged again.
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -11,12 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/batchroom"
-	"topazpulley/internal/holding"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/quarantine"
 	"topazpulley/internal/quota"
 	"topazpulley/internal/route"
 	"topazpulley/internal/serving"
+	"topazpulley/internal/submissionbuffer"
 	"topazpulley/internal/table"
 	"topazpulley/internal/telemetry"
 )
@@ -60,14 +60,14 @@
 	Connections func(service string) int
 	// Quota bounds the tokens that wait on a route; nil means no bounds.
 	Quota *quota.Accounts
-	// Settling is how long after its start the service places no items unless
+	// SettlingTime is how long after its start the service places no items unless
 	// it has heard of other daemons' work.
-	Settling time.Duration
+	SettlingTime time.Duration
 	// Zone is the daemon's own; empty means that zones do not matter.
 	Zone string
-	// BatchRoom is the policy of the room for items; empty means that they take every
+	// BatchCapacity is the policy of the room for items; empty means that they take every
 	// slot that looks free.
-	BatchRoom batchroom.Policy
+	BatchCapacity batchcapacity.Policy
 	// Quarantine tells which items are not sent to backends; nil means that all are.
 	Quarantine *quarantine.Guard
 	// ClaimsAge returns for how long the claims, as the service was told of them, may
@@ -75,8 +75,8 @@
 	ClaimsAge func() time.Duration
 	// Availability tells whether the store answers; nil means that no submission is held.
 	Availability Availability
-	// Holding bounds the submissions that are held while the store is away.
-	Holding holding.Limits
+	// SubmissionLimits bounds the submissions that are held while the store is away.
+	SubmissionLimits submissionbuffer.Limits
 }
 
 // Service answers calls about jobs and runs the jobs that this daemon owns.
@@ -111,7 +111,7 @@
 	quarantine   *quarantine.Guard
 	claimsAge    func() time.Duration
 	availability Availability
-	held         *holding.Room
+	held         *submissionbuffer.Buffer
 	sweeper      sweeper
 	endings      endings
 	pageLimit    pageLimit
@@ -152,12 +152,12 @@
 	service := &Service{
 		self: dependencies.Self, store: dependencies.Store, backends: dependencies.Backends, sender: dependencies.Sender,
 		holder: dependencies.Holder, peers: dependencies.Peers, metrics: dependencies.Metrics, log: dependencies.Logger,
-		connections: dependencies.Connections, settledAt: time.Now().Add(dependencies.Settling),
+		connections: dependencies.Connections, settledAt: time.Now().Add(dependencies.SettlingTime),
 		lifetime: lifetime, end: end, stopped: stopped, stop: stop, wake: make(chan struct{}, 1),
-		rooms: newRooms(dependencies.BatchRoom, newRandom()), yielder: newYielder(newRandom()),
+		rooms: newRooms(dependencies.BatchCapacity, newRandom()), yielder: newYielder(newRandom()),
 		claims: map[string]versionedClaim{}, gone: map[string]table.Version{}, orphans: map[string]time.Time{}, claimedAt: map[string]time.Time{}, takeovers: newTakeovers(), owned: map[string]*owned{}, accepted: map[string]acceptance{},
 		quota: dependencies.Quota, quarantine: dependencies.Quarantine, claimsAge: dependencies.ClaimsAge,
-		availability: dependencies.Availability, held: holding.NewRoom(dependencies.Holding), over: map[string]overJob{}, sweeper: newSweeper(), endings: newEndings(),
+		availability: dependencies.Availability, held: submissionbuffer.New(dependencies.SubmissionLimits), over: map[string]overJob{}, sweeper: newSweeper(), endings: newEndings(),
 	}
 	service.placer = newPlacer(newRandom(), dependencies.Zone, service.roomAt)
 	return service
--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -44,8 +44,8 @@
 	return &Account{limit: limit, held: map[Purpose]int64{}}
 }
 
-// Held returns the bytes that are held for a purpose.
-func (a *Account) Held(purpose Purpose) int64 {
+// Used returns the bytes that are held for a purpose.
+func (a *Account) Used(purpose Purpose) int64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.held[purpose]
@@ -67,19 +67,19 @@
 	return a.limit <= 0 || held+size <= SmallBytes || a.total+size <= a.limit
 }
 
-// Holding is bytes on an account, held by one goroutine at a time. The zero value holds
+// Allocation is bytes on an account, held by one goroutine at a time. The zero value holds
 // nothing on no account.
-type Holding struct {
+type Allocation struct {
 	account *Account
 	purpose Purpose
 	size    int64
 }
 
 // Open returns a holding of no bytes yet.
-func (a *Account) Open(purpose Purpose) Holding { return Holding{account: a, purpose: purpose} }
+func (a *Account) Open(purpose Purpose) Allocation { return Allocation{account: a, purpose: purpose} }
 
 // TryGrow holds more bytes and reports whether there was room.
-func (h *Holding) TryGrow(size int) bool {
+func (h *Allocation) TryGrow(size int) bool {
 	if h.account == nil {
 		return true
 	}
@@ -93,7 +93,7 @@
 }
 
 // Grow holds more bytes, whether or not there is room.
-func (h *Holding) Grow(size int) {
+func (h *Allocation) Grow(size int) {
 	if h.account == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // Shrink gives bytes back.
-func (h *Holding) Shrink(size int) {
+func (h *Allocation) Shrink(size int) {
 	if h.account == nil {
 		return
 	}
@@ -113,11 +113,11 @@
 }
 
 // add counts bytes. The account's mutex must be held.
-func (h *Holding) add(size int64) {
+func (h *Allocation) add(size int64) {
 	h.size += size
 	h.account.total += size
 	h.account.held[h.purpose] += size
 }
 
 // Release gives all of it back.
-func (h *Holding) Release() { h.Shrink(int(h.size)) }
+func (h *Allocation) Release() { h.Shrink(int(h.size)) }
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -20,11 +20,11 @@
 		total := func() int64 {
 			sum := int64(0)
 			for _, purpose := range memory.Purposes() {
-				sum += account.Held(purpose)
+				sum += account.Used(purpose)
 			}
 			return sum
 		}
-		holdings := make([]memory.Holding, 6)
+		holdings := make([]memory.Allocation, 6)
 		for index := range holdings {
 			holdings[index] = account.Open(memory.Purposes()[index%3])
 		}
@@ -49,7 +49,7 @@
 	account := memory.NewAccount(100 * kilobyte)
 	answer := account.Open(memory.PurposeAnswer)
 	answer.Grow(300 * kilobyte)
-	require.EqualValues(t, 300*kilobyte, account.Held(memory.PurposeAnswer))
+	require.EqualValues(t, 300*kilobyte, account.Used(memory.PurposeAnswer))
 	require.False(t, account.HasRoom(20*kilobyte))
 	require.True(t, account.HasRoom(10*kilobyte))
 	answer.Release()
--- a/internal/silence/silence.go
+++ b/internal/responsetimeout/responsetimeout.go
@@ -1,9 +1,9 @@
-// Package silence decides how long an attempt at a backend may stay silent before the
+// Package responsetimeout decides how long an attempt at a backend may stay silent before the
 // request is sent elsewhere. It learns what a service's answers take: silence is judged by
 // that, and a service that is slow everywhere raises it by itself. The load it answers:
 // plain work of 15 ms whose callers want it within 200 ms and wait for a second, at backends
 // that swallow requests because a zone is cut off.
-package silence
+package responsetimeout
 
 import (
 	"sync"
@@ -31,18 +31,18 @@
 
 // The kinds.
 const (
-	// KindWhole is an answer that is passed on whole.
-	KindWhole Kind = iota
+	// KindComplete is an answer that is passed on whole.
+	KindComplete Kind = iota
 	// KindFirstEvent is the first event of a stream. Its time depends on the prompt and
 	// on what else the backend reads, far more than that of plain work.
 	KindFirstEvent
 )
 
 const (
-	// wholePatience and eventPatience are the longest patience, in objectives: what is
+	// completeObjectives and eventPatience are the longest patience, in objectives: what is
 	// later than that is late whoever answers.
-	wholePatience = 3
-	eventPatience = 4
+	completeObjectives   = 3
+	firstEventObjectives = 4
 	// fixedPart is the patience of ModeFixed, and until enough is learned, as one in so
 	// many parts of the objective: the other half is left to another backend.
 	fixedPart = 2
@@ -60,8 +60,8 @@
 	leastSamples = 25
 )
 
-// Patience is how long one attempt may stay silent.
-type Patience struct {
+// Timeouts is how long one attempt may stay silent.
+type Timeouts struct {
 	// Early is after how long the request goes elsewhere if the budget allows.
 	Early time.Duration
 	// Latest is after how long it goes elsewhere in any case.
@@ -76,25 +76,25 @@
 	kind    Kind
 }
 
-// Book learns the times of services. It is safe for concurrent use; mutex guards times.
-type Book struct {
+// Estimates learns the times of services. It is safe for concurrent use; mutex guards times.
+type Estimates struct {
 	mode Mode
 
 	mutex sync.Mutex
 	times map[key]*times
 }
 
-// NewBook returns a book in which nothing is learned yet.
-func NewBook(mode Mode) *Book { return &Book{mode: mode, times: map[key]*times{}} }
+// NewEstimates returns a book in which nothing is learned yet.
+func NewEstimates(mode Mode) *Estimates { return &Estimates{mode: mode, times: map[key]*times{}} }
 
-// AvoidsZones reports whether a request that leaves a silent backend prefers other zones.
+// PrefersOtherZones reports whether a request that leaves a silent backend prefers other zones.
 // Without early ends there is no time left for a choice among few backends.
-func (b *Book) AvoidsZones() bool { return b.mode != ModeObjectives }
+func (b *Estimates) PrefersOtherZones() bool { return b.mode != ModeObjectives }
 
 // Observe notes what a good answer took. Attempts that were broken off as silent are not
 // noted: the budget of early ends leaves most attempts of a service that is slow everywhere
 // to their end, and those tell.
-func (b *Book) Observe(service string, kind Kind, took time.Duration) {
+func (b *Estimates) Observe(service string, kind Kind, took time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	name := key{service: service, kind: kind}
@@ -106,22 +106,22 @@
 	learned.add(took)
 }
 
-// Of returns the patience with an attempt for a service.
-func (b *Book) Of(service string, kind Kind, objective time.Duration) Patience {
-	latest := wholePatience * objective
+// For returns the patience with an attempt for a service.
+func (b *Estimates) For(service string, kind Kind, objective time.Duration) Timeouts {
+	latest := completeObjectives * objective
 	if kind == KindFirstEvent {
-		latest = eventPatience * objective
+		latest = firstEventObjectives * objective
 	}
 	learned := b.learned(service, kind)
-	return Patience{Early: b.early(kind, objective, learned, latest), Latest: latest, Learned: learned}
+	return Timeouts{Early: b.early(kind, objective, learned, latest), Latest: latest, Learned: learned}
 }
 
 // early returns the patience while the budget lasts.
-func (b *Book) early(kind Kind, objective, learned, latest time.Duration) time.Duration {
+func (b *Estimates) early(kind Kind, objective, learned, latest time.Duration) time.Duration {
 	switch {
 	case b.mode == ModeObjectives:
 		return latest
-	case b.mode == ModeFixed && kind == KindWhole:
+	case b.mode == ModeFixed && kind == KindComplete:
 		return objective / fixedPart
 	case b.mode == ModeFixed:
 		return objective
@@ -140,7 +140,7 @@
 }
 
 // learned returns the late quantile, 0 if too little is known.
-func (b *Book) learned(service string, kind Kind) time.Duration {
+func (b *Estimates) learned(service string, kind Kind) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.times[key{service: service, kind: kind}]
--- a/internal/silence/times.go
+++ b/internal/responsetimeout/times.go
@@ -1,4 +1,4 @@
-package silence
+package responsetimeout
 
 import (
 	"math"
--- a/internal/runs/runs.go
+++ b/internal/runrecord/runrecord.go
@@ -1,9 +1,9 @@
-// Package runs keeps what is known of whether a request has run at backends. A
+// Package runrecord keeps what is known of whether a request has run at backends. A
 // caller that is told that its request has not run sends it again; if that is not
 // true, the work is done twice. So the record is written where bytes leave for a
 // backend, and read where a caller is answered: both doors decide by it, and by
 // nothing else, whether they may say so.
-package runs
+package runrecord
 
 import "topazpulley/internal/failure"
 
@@ -29,9 +29,9 @@
 // MayHaveRun reports whether some attempt may have run.
 func (r *Record) MayHaveRun() bool { return r.sent > r.neverRan }
 
-// Mark adds the promise that nothing has run to a failure, if that is true, and
+// MarkNotRun adds the promise that nothing has run to a failure, if that is true, and
 // leaves it as it is otherwise.
-func (r *Record) Mark(failed *failure.Error) *failure.Error {
+func (r *Record) MarkNotRun(failed *failure.Error) *failure.Error {
 	if r.MayHaveRun() {
 		return failed
 	}
--- a/internal/runs/runs_test.go
+++ b/internal/runrecord/runrecord_test.go
@@ -1,4 +1,4 @@
-package runs
+package runrecord
 
 import (
 	"testing"
--- a/internal/serving/await.go
+++ b/internal/serving/await.go
@@ -6,7 +6,7 @@
 
 	"topazpulley/internal/periodic"
 	"topazpulley/internal/routing"
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // While no backend has a place, requests wait here and go on asking, so that a
@@ -18,7 +18,7 @@
 // seldom: they have time until their callers leave.
 //
 // Requests that can no longer be in time step behind those that can, by what all
-// daemons tell of their waiting requests (package waiting).
+// daemons tell of their waiting requests (package slotqueue).
 const (
 	// queueAfter is the multiple of the objective after which a request stops
 	// waiting for a place and queues at a backend, and longestAwait the longest
@@ -122,14 +122,14 @@
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		nap := min(left, waiting.OverduePause)
+		nap := min(left, slotqueue.OverduePause)
 		if rest := latest.Sub(now); rest < nap {
 			return periodic.Sleep(ctx, max(rest, 0))
 		}
 		if !periodic.SleepAbout(ctx, nap) {
 			return false
 		}
-		if left <= waiting.OverduePause {
+		if left <= slotqueue.OverduePause {
 			return true
 		}
 	}
@@ -137,12 +137,12 @@
 
 // askPause is the pause before the next question.
 func (e *exchange) askPause(now, inTimeUntil time.Time) time.Duration {
-	request := waiting.Request{Remaining: inTimeUntil.Sub(now)}
+	request := slotqueue.Request{Remaining: inTimeUntil.Sub(now)}
 	if !e.core.OrdersWaiting || !request.IsOverdue() {
-		return waiting.PauseWithoutStats(request)
+		return slotqueue.PauseWithoutStats(request)
 	}
 	fleet := e.core.Backends.FleetQueueStats(e.request.Service, now)
-	pause := waiting.Pause(request, fleet)
+	pause := slotqueue.Pause(request, fleet)
 	if !e.isBehind {
 		e.noteBehind(request, fleet, pause)
 	}
@@ -150,7 +150,7 @@
 }
 
 // noteBehind logs once that the request makes way for those in time.
-func (e *exchange) noteBehind(request waiting.Request, fleet waiting.Stats, pause time.Duration) {
+func (e *exchange) noteBehind(request slotqueue.Request, fleet slotqueue.Stats, pause time.Duration) {
 	e.isBehind = true
 	e.core.Metrics.Behind.WithLabelValues(e.request.Service).Inc()
 	e.core.Logger.Info("request_behind", "id", e.request.ID, "service", e.request.Service, "late_ms", -request.Remaining.Milliseconds(),
--- a/internal/serving/core.go
+++ b/internal/serving/core.go
@@ -12,9 +12,9 @@
 	"topazpulley/internal/boottime"
 	"topazpulley/internal/quarantine"
 	"topazpulley/internal/ratelimit"
+	"topazpulley/internal/responsetimeout"
 	"topazpulley/internal/route"
 	"topazpulley/internal/routing"
-	"topazpulley/internal/silence"
 	"topazpulley/internal/telemetry"
 )
 
@@ -45,7 +45,7 @@
 	Wakeups *boottime.Wakeups
 
 	// Patience tells how long attempts may stay silent.
-	Patience *silence.Book
+	Patience *responsetimeout.Estimates
 
 	retries *admission.RetryBudget
 	// silences bounds the attempts that are ended before their latest patience.
@@ -66,7 +66,7 @@
 func NewCore(backends *backend.Set, sender Sender, holder *route.Holder, metrics *telemetry.Serving, log *slog.Logger, fleet func() int) *Core {
 	return &Core{
 		Backends: backends, Sender: sender, Holder: holder, Metrics: metrics, Logger: log, Fleet: fleet,
-		Patience: silence.NewBook(silence.ModeLearned),
+		Patience: responsetimeout.NewEstimates(responsetimeout.ModeLearned),
 		retries:  admission.NewRetryBudget(retryShare, retryReserve),
 		silences: admission.NewRetryBudget(silenceShare, silenceReserve),
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -13,7 +13,7 @@
 	"topazpulley/internal/ratelimit"
 	"topazpulley/internal/route"
 	"topazpulley/internal/routing"
-	"topazpulley/internal/runs"
+	"topazpulley/internal/runrecord"
 	"topazpulley/internal/watchdog"
 )
 
@@ -48,7 +48,7 @@
 	// runs counts the runs that the route's greatest number allows for; ran is what
 	// is known of whether any attempt ran.
 	runs  int
-	ran   runs.Record
+	ran   runrecord.Record
 	begun bool
 	// fingerprint identifies the request's content whatever its id.
 	fingerprint quarantine.Fingerprint
@@ -95,7 +95,7 @@
 			e.awaitPlace(ctx)
 		}
 		if e.turnedAway > 0 {
-			e.reason = ReasonNoPlace
+			e.reason = ReasonNoSlot
 			e.giveUp(e.turnedAway, codeCrowded)
 			return
 		}
@@ -179,7 +179,7 @@
 func (e *exchange) attempt(ctx context.Context, lease *backend.Lease) error {
 	remaining := e.remaining()
 	if remaining < minimumRemaining {
-		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonEnded}
+		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded}
 	}
 	attempt := Attempt{
 		Instance: e.last, Tenant: e.request.tenantName(), MaxConnections: e.core.ConnectionShare(e.request.Service),
@@ -260,7 +260,7 @@
 	switch reason {
 	case ReasonUnreachable:
 		backends.Unreachable(life, now)
-	case ReasonBroken, ReasonSpoiled, ReasonSilent, ReasonError:
+	case ReasonBroken, ReasonCorrupt, ReasonSilent, ReasonError:
 		backends.Failed(life, now)
 	case ReasonOtherInstance:
 		backends.RemoveIncarnation(life)
@@ -281,7 +281,7 @@
 	failed := attemptError(err)
 	e.reason = failed.Reason
 	e.excluded[e.last.ID] = true
-	if failed.Reason == ReasonSilent && e.core.Patience.AvoidsZones() {
+	if failed.Reason == ReasonSilent && e.core.Patience.PrefersOtherZones() {
 		e.avoidZone(e.last.Zone)
 	}
 	if failed.Outcome != OutcomeNotRun {
--- a/internal/serving/order_test.go
+++ b/internal/serving/order_test.go
@@ -14,15 +14,15 @@
 	"topazpulley/internal/backend"
 	"topazpulley/internal/route"
 	"topazpulley/internal/serving"
+	"topazpulley/internal/slotqueue"
 	"topazpulley/internal/telemetry"
-	"topazpulley/internal/waiting"
 )
 
 // crowded is a fleet that wants all places for requests that can be in time, and roomy
 // one where places come free and late requests alone wait.
 var (
-	crowded = waiting.Stats{OnTime: 200, Overdue: 300, FreedSlots: 700}
-	roomy   = waiting.Stats{Overdue: 5, FreedSlots: 700}
+	crowded = slotqueue.Stats{OnTime: 200, Overdue: 300, FreedSlots: 700}
+	roomy   = slotqueue.Stats{Overdue: 5, FreedSlots: 700}
 )
 
 // waits is how one request waited for a place at backends that have none.
@@ -36,12 +36,12 @@
 }
 
 // awaitPlace has a request wait while the fleet waits for other places, too.
-func awaitPlace(fleet waiting.Stats, inOrder bool, refused int, lastEvent int64) waits {
+func awaitPlace(fleet slotqueue.Stats, inOrder bool, refused int, lastEvent int64) waits {
 	return awaitPlaceBeside(nil, fleet, inOrder, refused, lastEvent)
 }
 
 // awaitPlaceBeside does so while other daemons have work at the backends.
-func awaitPlaceBeside(work map[string]backend.PeerLoad, fleet waiting.Stats, inOrder bool, refused int, lastEvent int64) waits {
+func awaitPlaceBeside(work map[string]backend.PeerLoad, fleet slotqueue.Stats, inOrder bool, refused int, lastEvent int64) waits {
 	policy := &route.Route{Kind: route.KindStream, Resumable: lastEvent > 0, Timeout: time.Minute, Objective: 300 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	caller := &recorder{last: lastEvent}
 	sender := &script{ran: map[string]bool{}, lastSeen: caller}
@@ -55,7 +55,7 @@
 	core.Metrics = telemetry.NewServing(registry)
 	core.OrdersWaiting = inOrder
 	core.Holder.Apply(withPlaces(), time.Now())
-	core.Backends.SetPeerQueueStats("others", map[string]waiting.Stats{"s": fleet})
+	core.Backends.SetPeerQueueStats("others", map[string]slotqueue.Stats{"s": fleet})
 	core.Backends.SetPeerLoads("others", work, 0)
 	now := time.Now()
 	found := waits{caller: caller, sender: sender}
@@ -169,7 +169,7 @@
 		core := newCore(sender)
 		core.OrdersWaiting = true
 		core.Holder.Apply(withPlaces(), time.Now())
-		core.Backends.SetPeerQueueStats("others", map[string]waiting.Stats{"s": crowded})
+		core.Backends.SetPeerQueueStats("others", map[string]slotqueue.Stats{"s": crowded})
 		now := time.Now()
 		core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(5 * time.Second)}, caller)
 		require.Equal(t, 2, sender.runs)
--- a/internal/serving/place.go
+++ b/internal/serving/place.go
@@ -76,7 +76,7 @@
 	if e.allowedPreemption() != preemptNothing {
 		clear(e.excluded)
 	}
-	return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonNoPlace, Cause: err}
+	return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonNoSlot, Cause: err}
 }
 
 // preemptEvery is after how many backends without a place one more batch item is
@@ -86,7 +86,7 @@
 
 // noteUnplaced counts a backend that had no place for the request.
 func (e *exchange) noteUnplaced() {
-	e.core.Metrics.Attempts.WithLabelValues("not_run", string(ReasonNoPlace)).Inc()
+	e.core.Metrics.Attempts.WithLabelValues("not_run", string(ReasonNoSlot)).Inc()
 	e.unplaced++
 	if e.unplaced%preemptEvery == 0 {
 		e.preemptForPlace()
@@ -94,4 +94,4 @@
 }
 
 // isUnplaced reports whether a backend had no place for a request.
-func isUnplaced(err error) bool { return attemptError(err).Reason == ReasonNoPlace }
+func isUnplaced(err error) bool { return attemptError(err).Reason == ReasonNoSlot }
--- a/internal/serving/promise_test.go
+++ b/internal/serving/promise_test.go
@@ -47,7 +47,7 @@
 		return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonUnreachable}
 	case neverConnects:
 		<-ctx.Done()
-		return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonEnded, Cause: ctx.Err()}
+		return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonRequestEnded, Cause: ctx.Err()}
 	}
 	a.ran++
 	switch next {
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	"topazpulley/internal/backend"
-	"topazpulley/internal/silence"
+	"topazpulley/internal/responsetimeout"
 	"topazpulley/internal/watchdog"
 )
 
@@ -30,7 +30,7 @@
 	e.runs++
 	if head.Successful() {
 		e.core.Backends.Succeeded(e.last.Incarnation(), time.Now())
-		e.noteAnswered(silence.KindWhole)
+		e.noteAnswered(responsetimeout.KindComplete)
 	}
 	e.firstAt = time.Now()
 	e.outcome = "served"
@@ -80,11 +80,11 @@
 			return err
 		}
 		if event.ID != 0 && event.ID != e.lastEvent+1 {
-			return &AttemptError{Outcome: OutcomeUnknown, Reason: ReasonSpoiled}
+			return &AttemptError{Outcome: OutcomeUnknown, Reason: ReasonCorrupt}
 		}
 		watched.Feed()
 		if isFirst {
-			e.noteAnswered(silence.KindFirstEvent)
+			e.noteAnswered(responsetimeout.KindFirstEvent)
 		}
 		lease.Started()
 		if err := e.passEvent(answer, event); err != nil {
--- a/internal/serving/request.go
+++ b/internal/serving/request.go
@@ -104,19 +104,19 @@
 	Permit func() error
 }
 
-// MayLeave returns an error, which is an *AttemptError, if the attempt must not reach
+// CheckSendable returns an error, which is an *AttemptError, if the attempt must not reach
 // its backend any more: who asked for it has left, its time is over, or its permit
 // is refused. It also brings what is left of its time up to date. Connections are
 // made, and processes wait for a processor, between the decision to send and the first
 // byte.
-func (a *Attempt) MayLeave(ctx context.Context) error {
+func (a *Attempt) CheckSendable(ctx context.Context) error {
 	if ctx.Err() != nil {
-		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonEnded, Cause: ctx.Err()}
+		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded, Cause: ctx.Err()}
 	}
 	if a.TimeLeft != nil {
 		a.Remaining = min(a.Remaining, a.TimeLeft())
 		if a.Remaining < minimumRemaining {
-			return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonEnded}
+			return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded}
 		}
 	}
 	if a.Permit == nil {
@@ -220,14 +220,14 @@
 	ReasonOtherInstance Reason = "other_instance"
 	ReasonNoConnection  Reason = "no_connection"
 	ReasonBroken        Reason = "broken"
-	ReasonSpoiled       Reason = "spoiled"
+	ReasonCorrupt       Reason = "spoiled"
 	ReasonSilent        Reason = "silent"
-	ReasonEnded         Reason = "ended"
+	ReasonRequestEnded  Reason = "ended"
 	ReasonError         Reason = "error"
-	// ReasonNoPlace tells that the backend set no place aside.
-	ReasonNoPlace Reason = "no_place"
-	// ReasonWithheld tells that the permit to send was refused.
-	ReasonWithheld Reason = "withheld"
+	// ReasonNoSlot tells that the backend set no place aside.
+	ReasonNoSlot Reason = "no_place"
+	// ReasonPermitRefused tells that the permit to send was refused.
+	ReasonPermitRefused Reason = "withheld"
 	// ReasonMalformed tells that the attempt cannot be written as one request.
 	ReasonMalformed Reason = "malformed"
 	// ReasonQuarantined tells that backends have ended under the request, so that
--- a/internal/serving/silence.go
+++ b/internal/serving/silence.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"topazpulley/internal/responsetimeout"
 	"topazpulley/internal/route"
-	"topazpulley/internal/silence"
 	"topazpulley/internal/watchdog"
 )
 
@@ -31,25 +31,25 @@
 		return nil
 	}
 	kind := e.waitsFor()
-	allowed := e.core.Patience.Of(e.request.Service, kind, e.request.Route.Objective)
+	allowed := e.core.Patience.For(e.request.Service, kind, e.request.Route.Objective)
 	pause := eventPatience
-	if kind == silence.KindWhole {
+	if kind == responsetimeout.KindComplete {
 		pause = allowed.Latest
 	}
 	return watchdog.StartEarly(allowed.Early, allowed.Latest, pause, func() bool { return e.mayLeaveEarly(allowed) }, cancel)
 }
 
 // waitsFor is the sign of life for which an attempt of the request waits.
-func (e *exchange) waitsFor() silence.Kind {
+func (e *exchange) waitsFor() responsetimeout.Kind {
 	if e.request.Route.Kind == route.KindStream {
-		return silence.KindFirstEvent
+		return responsetimeout.KindFirstEvent
 	}
-	return silence.KindWhole
+	return responsetimeout.KindComplete
 }
 
 // mayLeaveEarly decides when the early patience with the present attempt is over. It is
 // called beside the attempt and reads only what does not change while that lasts.
-func (e *exchange) mayLeaveEarly(allowed silence.Patience) bool {
+func (e *exchange) mayLeaveEarly(allowed responsetimeout.Timeouts) bool {
 	outcome := silenceLeft
 	if !e.core.silences.Spend() {
 		outcome = silenceWaited
@@ -61,7 +61,7 @@
 }
 
 // noteAnswered learns what the present attempt took to its sign of life.
-func (e *exchange) noteAnswered(kind silence.Kind) {
+func (e *exchange) noteAnswered(kind responsetimeout.Kind) {
 	e.core.Patience.Observe(e.request.Service, kind, time.Since(e.attemptedAt))
 }
 
--- a/internal/serving/silence_test.go
+++ b/internal/serving/silence_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpulley/internal/backend"
+	"topazpulley/internal/responsetimeout"
 	"topazpulley/internal/route"
 	"topazpulley/internal/serving"
-	"topazpulley/internal/silence"
 	"topazpulley/internal/telemetry"
 )
 
@@ -174,7 +174,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sender := &swallower{takes: objective * 3 / 4}
 		core := zoned(sender)
-		core.Patience = silence.NewBook(silence.ModeFixed)
+		core.Patience = responsetimeout.NewEstimates(responsetimeout.ModeFixed)
 		serveMany(core, repeatable(3), 200)
 		require.Positive(t, sender.atWork)
 		require.LessOrEqual(t, sender.atWork, 10+200/10)
--- a/internal/serving/sleep_test.go
+++ b/internal/serving/sleep_test.go
@@ -47,7 +47,7 @@
 func (s *sleeping) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
 	s.machine.sleep(s.beforeSend)
 	s.beforeSend = 0
-	if err := attempt.MayLeave(ctx); err != nil {
+	if err := attempt.CheckSendable(ctx); err != nil {
 		return nil, err
 	}
 	s.told = append(s.told, attempt.Remaining)
@@ -58,7 +58,7 @@
 	}
 	if s.isSilent {
 		<-ctx.Done()
-		return nil, &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonEnded, Cause: ctx.Err()}
+		return nil, &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonRequestEnded, Cause: ctx.Err()}
 	}
 	return &scripted{instance: attempt.Instance.ID}, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,9 +16,9 @@
 	"github.com/BurntSushi/toml"
 	"github.com/pkg/errors"
 
-	"topazpulley/internal/batchroom"
+	"topazpulley/internal/batchcapacity"
 	"topazpulley/internal/failure"
-	"topazpulley/internal/silence"
+	"topazpulley/internal/responsetimeout"
 )
 
 // Duration is a time.Duration written as text, such as "250ms".
@@ -103,15 +103,15 @@
 	// to be sent to no further one, and QuarantineTime how long that holds.
 	QuarantineCrashes int      `toml:"quarantine_crashes"`
 	QuarantineTime    Duration `toml:"quarantine_time"`
-	// SilencePatience is how long a repeatable request waits for a silent backend: by
+	// ResponseTimeouts is how long a repeatable request waits for a silent backend: by
 	// what the service's answers take ("learned"), for half of its objective ("fixed"),
 	// or for three objectives, four with a stream ("objectives").
-	SilencePatience string `toml:"silence_patience"`
+	ResponseTimeouts string `toml:"silence_patience"`
 	// WaitingOrder tells in what order online requests get places while there are too
 	// few: WaitingOrderFleet or WaitingOrderNone.
 	WaitingOrder string `toml:"waiting_order"`
-	// BatchRoom is the policy of the room for batch items: "free", "once", "reserve" or "rhythm".
-	BatchRoom batchroom.Policy `toml:"batch_room"`
+	// BatchCapacity is the policy of the room for batch items: "free", "once", "reserve" or "rhythm".
+	BatchCapacity batchcapacity.Policy `toml:"batch_room"`
 	// ProbeInterval is the time between two membership probes.
 	ProbeInterval Duration `toml:"probe_interval"`
 	// StopLinger is how long a stopping daemon goes on accepting requests.
@@ -171,10 +171,10 @@
 		RateToleranceRequests:       defaultRateToleranceRequests,
 		QuarantineCrashes:           defaultQuarantineCrashes,
 		QuarantineTime:              defaultQuarantineTime,
-		SilencePatience:             string(silence.ModeObjectives),
+		ResponseTimeouts:            string(responsetimeout.ModeObjectives),
 		HeldSubmissionsShare:        defaultHeldSubmissionsShare,
 		WaitingOrder:                WaitingOrderFleet,
-		BatchRoom:                   batchroom.PolicyFree,
+		BatchCapacity:               batchcapacity.PolicyFree,
 	}
 }
 
@@ -301,10 +301,10 @@
 	if s.QuarantineCrashes < 1 || s.QuarantineTime <= 0 {
 		return invalid("quarantine_crashes, quarantine_time", "give a positive number and a positive duration")
 	}
-	if !silence.Mode(s.SilencePatience).IsValid() {
+	if !responsetimeout.Mode(s.ResponseTimeouts).IsValid() {
 		return invalid("silence_patience", "give learned, fixed or objectives")
 	}
-	if !s.BatchRoom.IsKnown() {
+	if !s.BatchCapacity.IsKnown() {
 		return invalid("batch_room", "give free, once, reserve or rhythm")
 	}
 	if s.RevocationBound < 0 {
--- a/internal/waiting/lead.go
+++ b/internal/slotqueue/firstoutput.go
@@ -1,4 +1,4 @@
-package waiting
+package slotqueue
 
 import "time"
 
--- a/internal/waiting/load_test.go
+++ b/internal/slotqueue/load_test.go
@@ -1,10 +1,10 @@
-package waiting_test
+package slotqueue_test
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // The load is played in steps of a millisecond.
@@ -34,19 +34,19 @@
 // way is how requests wait: how long between two questions, and whether one that has
 // waited for long is told that it gets no place; else it queues at a backend.
 type way struct {
-	pause        func(request waiting.Request, fleet waiting.Stats) time.Duration
-	isTurnedAway func(fleet waiting.Stats) bool
+	pause        func(request slotqueue.Request, fleet slotqueue.Stats) time.Duration
+	isTurnedAway func(fleet slotqueue.Stats) bool
 }
 
 var (
 	// alone is how requests wait that know nothing of each other.
 	alone = way{
-		pause: func(request waiting.Request, _ waiting.Stats) time.Duration {
-			return waiting.PauseWithoutStats(request)
+		pause: func(request slotqueue.Request, _ slotqueue.Stats) time.Duration {
+			return slotqueue.PauseWithoutStats(request)
 		},
-		isTurnedAway: func(waiting.Stats) bool { return false },
+		isTurnedAway: func(slotqueue.Stats) bool { return false },
 	}
-	ordered = way{pause: waiting.Pause, isTurnedAway: func(fleet waiting.Stats) bool { return fleet.IsOverloaded(objective) }}
+	ordered = way{pause: slotqueue.Pause, isTurnedAway: func(fleet slotqueue.Stats) bool { return fleet.IsOverloaded(objective) }}
 )
 
 // outcome is what became of the requests that came during the overload, and of the
@@ -71,9 +71,9 @@
 	waiting []*caller
 	queues  [backends][]*caller
 	ends    [backends][]time.Duration
-	freed   waiting.Rate
-	lead    waiting.FirstOutputTime
-	told    []waiting.Stats
+	freed   slotqueue.Rate
+	lead    slotqueue.FirstOutputTime
+	told    []slotqueue.Stats
 	result  outcome
 	steps   int
 	empty   float64
@@ -160,7 +160,7 @@
 		return true
 	}
 	until := each.arrived + objective - l.lead.Within(objective)
-	pause := l.way.pause(waiting.Request{Remaining: until - l.now}, l.told[0])
+	pause := l.way.pause(slotqueue.Request{Remaining: until - l.now}, l.told[0])
 	if each.firstLeft > 0 {
 		each.firstLeft--
 		pause = 2 * time.Millisecond
@@ -207,7 +207,7 @@
 
 // tell keeps the sums of each step; the oldest kept is the newest that all know.
 func (l *load) tell() {
-	sums := waiting.Stats{FreedSlots: l.freed.Count(l.at())}
+	sums := slotqueue.Stats{FreedSlots: l.freed.Count(l.at())}
 	for _, each := range l.waiting {
 		if l.now < each.arrived+objective-l.lead.Within(objective) {
 			sums.OnTime++
--- a/internal/waiting/waiting.go
+++ b/internal/slotqueue/slotqueue.go
@@ -1,4 +1,4 @@
-// Package waiting decides who asks next for a place when more requests wait than
+// Package slotqueue decides who asks next for a place when more requests wait than
 // places come free. It knows no network and no clock: it is told what waits here,
 // what the fleet waits for, and how much time each request has left.
 //
@@ -7,7 +7,7 @@
 // stays unused, and takes the room as soon as nobody in time wants it. Served in the
 // order in which requests came, or by their objectives, all of them would be a little
 // late while there is too little room.
-package waiting
+package slotqueue
 
 import "time"
 
--- a/internal/waiting/waiting_test.go
+++ b/internal/slotqueue/slotqueue_test.go
@@ -1,4 +1,4 @@
-package waiting_test
+package slotqueue_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"topazpulley/internal/waiting"
+	"topazpulley/internal/slotqueue"
 )
 
 // ages are how old what a request knows of the others may be.
@@ -51,13 +51,13 @@
 func TestLateNeverAsksMoreOften(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.IntRange(-5, 5000)
-		fleet := waiting.Stats{OnTime: draw.Draw(t, "in time"), Overdue: draw.Draw(t, "late"), FreedSlots: draw.Draw(t, "freed")}
-		inTime := waiting.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
-		late := waiting.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
-		require.Equal(t, waiting.PauseWithoutStats(inTime), waiting.Pause(inTime, fleet))
-		require.GreaterOrEqual(t, waiting.Pause(late, fleet), waiting.Pause(inTime, fleet))
+		fleet := slotqueue.Stats{OnTime: draw.Draw(t, "in time"), Overdue: draw.Draw(t, "late"), FreedSlots: draw.Draw(t, "freed")}
+		inTime := slotqueue.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
+		late := slotqueue.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
+		require.Equal(t, slotqueue.PauseWithoutStats(inTime), slotqueue.Pause(inTime, fleet))
+		require.GreaterOrEqual(t, slotqueue.Pause(late, fleet), slotqueue.Pause(inTime, fleet))
 		if fleet.FreedSlots <= 0 {
-			require.Equal(t, waiting.PauseWithoutStats(late), waiting.Pause(late, fleet))
+			require.Equal(t, slotqueue.PauseWithoutStats(late), slotqueue.Pause(late, fleet))
 			require.False(t, fleet.IsOverloaded(objective))
 		}
 	})
@@ -66,14 +66,14 @@
 // TestLateTakesTheRoomThatNobodyInTimeWants: it asks at once as often as places come
 // free, and hardly ever while those in time ask for all.
 func TestLateTakesTheRoomThatNobodyInTimeWants(t *testing.T) {
-	late := waiting.Request{}
-	require.Equal(t, waiting.LongestPause, waiting.Pause(late, waiting.Stats{Overdue: 20, FreedSlots: 700}))
-	require.Greater(t, waiting.Pause(late, waiting.Stats{OnTime: 200, Overdue: 500, FreedSlots: 700}), time.Second)
+	late := slotqueue.Request{}
+	require.Equal(t, slotqueue.LongestPause, slotqueue.Pause(late, slotqueue.Stats{Overdue: 20, FreedSlots: 700}))
+	require.Greater(t, slotqueue.Pause(late, slotqueue.Stats{OnTime: 200, Overdue: 500, FreedSlots: 700}), time.Second)
 }
 
 // TestRateCountsTheLastSecond.
 func TestRateCountsTheLastSecond(t *testing.T) {
-	var freed waiting.Rate
+	var freed slotqueue.Rate
 	now := time.Unix(1000, 0)
 	for range 30 {
 		freed.Add(now)
@@ -87,7 +87,7 @@
 
 // TestLeadLeavesHalfOfTheObjective: answers that got slow make no request late at once.
 func TestLeadLeavesHalfOfTheObjective(t *testing.T) {
-	var lead waiting.FirstOutputTime
+	var lead slotqueue.FirstOutputTime
 	require.Zero(t, lead.Within(objective))
 	for range 50 {
 		lead.Add(60 * time.Millisecond)
--- a/internal/holding/holding.go
+++ b/internal/submissionbuffer/submissionbuffer.go
@@ -1,9 +1,9 @@
-// Package holding decides which submissions a daemon holds while the durable store is
+// Package submissionbuffer decides which submissions a daemon holds while the durable store is
 // away, and when those that it cannot hold should come back. The load it answers: jobs
 // that arrive in an outage of seconds, from callers who wait for about as long. Nobody can
 // keep a job that nothing durable holds, but who comes in the last part of an outage can
 // be accepted behind it, without a call to the store meanwhile.
-package holding
+package submissionbuffer
 
 import (
 	"sync"
@@ -11,22 +11,22 @@
 )
 
 const (
-	// mostHeld bounds the submissions of one daemon: each has a connection and two
+	// maxSubmissions bounds the submissions of one daemon: each has a connection and two
 	// goroutines, and all of them go to the store within a moment of its return.
-	mostHeld = 64
+	maxSubmissions = 64
 	// copies is how often the content of a held submission lies in memory: as it came, in
 	// the encoding of the wire (four thirds), and as it was read.
 	copies = 3
 	// unboundedMegabytes stands for the memory of a daemon without a bound.
 	unboundedMegabytes = 512
 
-	// shortestReturn and longestReturn bound the advice to a caller that is not held.
+	// minRetryAfter and longestReturn bound the advice to a caller that is not held.
 	// Callers wait for some seconds in all.
-	shortestReturn = 500 * time.Millisecond
-	longestReturn  = 3 * time.Second
-	// heldReturn is the advice to a caller whose time was over while it was held: it is
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
+	// bufferedRetryAfter is the advice to a caller whose time was over while it was held: it is
 	// held again wherever it comes, and the sooner the less of the outage's end it misses.
-	heldReturn = 100 * time.Millisecond
+	bufferedRetryAfter = 100 * time.Millisecond
 )
 
 // Limits bound what one daemon holds at a time. The zero value holds nothing.
@@ -45,12 +45,12 @@
 	if memoryMegabytes <= 0 {
 		memoryMegabytes = unboundedMegabytes
 	}
-	return Limits{Count: mostHeld, Bytes: int64(share * float64(memoryMegabytes<<20))}
+	return Limits{Count: maxSubmissions, Bytes: int64(share * float64(memoryMegabytes<<20))}
 }
 
-// Room is what a daemon holds. It is safe for concurrent use; mutex guards count and
+// Buffer is what a daemon holds. It is safe for concurrent use; mutex guards count and
 // bytes.
-type Room struct {
+type Buffer struct {
 	limits Limits
 
 	mutex sync.Mutex
@@ -58,12 +58,12 @@
 	bytes int64
 }
 
-// NewRoom returns an empty room.
-func NewRoom(limits Limits) *Room { return &Room{limits: limits} }
+// New returns an empty room.
+func New(limits Limits) *Buffer { return &Buffer{limits: limits} }
 
-// Enter holds a submission with a content of so many bytes, if there is room for it. leave
+// Add holds a submission with a content of so many bytes, if there is room for it. leave
 // is called when it is held no more.
-func (r *Room) Enter(contentBytes int) (leave func(), isHeld bool) {
+func (r *Buffer) Add(contentBytes int) (leave func(), isHeld bool) {
 	taken := int64(contentBytes) * copies
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -72,10 +72,10 @@
 	}
 	r.count++
 	r.bytes += taken
-	return func() { r.leave(taken) }, true
+	return func() { r.remove(taken) }, true
 }
 
-func (r *Room) leave(taken int64) {
+func (r *Buffer) remove(taken int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.count--
@@ -83,17 +83,17 @@
 }
 
 // Count returns how many submissions are held.
-func (r *Room) Count() int {
+func (r *Buffer) Count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.count
 }
 
-// ComeBack returns when a refused caller should come again. Of an outage nothing is known
+// RetryAfter returns when a refused caller should come again. Of an outage nothing is known
 // but how long it has lasted; it is expected to last as long again.
-func ComeBack(awayFor time.Duration, wasHeld bool) time.Duration {
+func RetryAfter(awayFor time.Duration, wasHeld bool) time.Duration {
 	if wasHeld {
-		return heldReturn
+		return bufferedRetryAfter
 	}
-	return min(max(awayFor, shortestReturn), longestReturn)
+	return min(max(awayFor, minRetryAfter), maxRetryAfter)
 }
--- a/internal/holding/holding_test.go
+++ b/internal/submissionbuffer/submissionbuffer_test.go
@@ -1,4 +1,4 @@
-package holding_test
+package submissionbuffer_test
 
 import (
 	"testing"
@@ -6,18 +6,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpulley/internal/holding"
+	"topazpulley/internal/submissionbuffer"
 )
 
 // TestSmallDaemonsHoldLittle: with 160 MB and a share of a twentieth, jobs of 150 KB in
 // the mean are held by the dozen and one of 4 MB is not.
 func TestSmallDaemonsHoldLittle(t *testing.T) {
-	room := holding.NewRoom(holding.LimitsOf(160, 0.05))
-	_, isHeld := room.Enter(4 << 20)
+	room := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0.05))
+	_, isHeld := room.Add(4 << 20)
 	require.False(t, isHeld)
 	leaves := []func(){}
 	for {
-		leave, isHeld := room.Enter(150 << 10)
+		leave, isHeld := room.Add(150 << 10)
 		if !isHeld {
 			break
 		}
@@ -28,16 +28,16 @@
 		leave()
 	}
 	require.Zero(t, room.Count())
-	_, isHeld = room.Enter(150 << 10)
+	_, isHeld = room.Add(150 << 10)
 	require.True(t, isHeld)
 }
 
 // TestNumberIsBoundedToo: contents may be tiny.
 func TestNumberIsBoundedToo(t *testing.T) {
-	room := holding.NewRoom(holding.LimitsOf(0, 0.05))
+	room := submissionbuffer.New(submissionbuffer.LimitsOf(0, 0.05))
 	held := 0
 	for range 1000 {
-		if _, isHeld := room.Enter(1); isHeld {
+		if _, isHeld := room.Add(1); isHeld {
 			held++
 		}
 	}
@@ -46,14 +46,14 @@
 
 // TestNothingIsHeldWithoutAShare.
 func TestNothingIsHeldWithoutAShare(t *testing.T) {
-	_, isHeld := holding.NewRoom(holding.LimitsOf(160, 0)).Enter(1)
+	_, isHeld := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0)).Add(1)
 	require.False(t, isHeld)
 }
 
 // TestOutageIsExpectedToLastAsLongAgain, within what callers can wait for.
 func TestOutageIsExpectedToLastAsLongAgain(t *testing.T) {
-	require.Equal(t, 500*time.Millisecond, holding.ComeBack(100*time.Millisecond, false))
-	require.Equal(t, 2*time.Second, holding.ComeBack(2*time.Second, false))
-	require.Equal(t, 3*time.Second, holding.ComeBack(time.Minute, false))
-	require.Less(t, holding.ComeBack(2*time.Second, true), 200*time.Millisecond, "it is held again wherever it comes")
+	require.Equal(t, 500*time.Millisecond, submissionbuffer.RetryAfter(100*time.Millisecond, false))
+	require.Equal(t, 2*time.Second, submissionbuffer.RetryAfter(2*time.Second, false))
+	require.Equal(t, 3*time.Second, submissionbuffer.RetryAfter(time.Minute, false))
+	require.Less(t, submissionbuffer.RetryAfter(2*time.Second, true), 200*time.Millisecond, "it is held again wherever it comes")
 }
--- a/internal/table/follower.go
+++ b/internal/table/follower.go
@@ -57,7 +57,7 @@
 	// Plan decides how much of a large table is kept; nil means all. Partitioned must not
 	// be set beside it, and Part must be the Consumer.
 	Plan SectionPlan
-	Part PartKeeper
+	Part SectionConsumer
 	// Deferred returns for how long a read of many partitions, a call each, waits for an
 	// upstream before it is tried again, 0 if it does not wait; nil means that it does not.
 	Deferred func() time.Duration
--- a/internal/table/section.go
+++ b/internal/table/section.go
@@ -52,8 +52,8 @@
 	WantsLess(rows int) bool
 }
 
-// PartKeeper is a consumer of a section of a table.
-type PartKeeper interface {
+// SectionConsumer is a consumer of a section of a table.
+type SectionConsumer interface {
 	Consumer
 	// SetSection tells of which section the next rows are.
 	SetSection(section Section)
--- a/internal/neighborhood/neighborhood.go
+++ b/internal/topology/topology.go
@@ -1,9 +1,9 @@
-// Package neighborhood answers, for one daemon of a fleet of any size, with whom it has to
+// Package topology answers, for one daemon of a fleet of any size, with whom it has to
 // do: where on the ring of backends its own section begins, which daemons share backends
 // with it, and how many daemons of a zone follow the store for the others. What a daemon
 // keeps, hears and says is bounded by these answers and not by the fleet. All are pure, so
 // that daemons that see the same members agree without a message.
-package neighborhood
+package topology
 
 import (
 	"cmp"
--- a/internal/neighborhood/neighborhood_test.go
+++ b/internal/topology/topology_test.go
@@ -1,4 +1,4 @@
-package neighborhood_test
+package topology_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpulley/internal/neighborhood"
+	"topazpulley/internal/topology"
 )
 
 func fleet(size int) []string {
@@ -26,9 +26,9 @@
 		names, total := fleet(size), 0
 		width := min(192/float64(10*size), 1)
 		for _, name := range names {
-			found := neighborhood.Neighbors(name, width, names)
+			found := topology.Neighbors(name, width, names)
 			require.NotContains(t, found, name)
-			require.LessOrEqual(t, len(found), 2*neighborhood.FullMeshLimit)
+			require.LessOrEqual(t, len(found), 2*topology.FullMeshLimit)
 			total += len(found)
 		}
 		means[size] = float64(total) / float64(size)
@@ -43,23 +43,23 @@
 	const width = 0.01
 	names := fleet(2000)
 	for _, a := range names[:200] {
-		found := neighborhood.Neighbors(a, width, names)
+		found := topology.Neighbors(a, width, names)
 		for _, b := range names {
-			isShared := a != b && neighborhood.RingDistance(neighborhood.RingPosition(a), neighborhood.RingPosition(b)) < width
+			isShared := a != b && topology.RingDistance(topology.RingPosition(a), topology.RingPosition(b)) < width
 			if isShared {
 				require.Contains(t, found, b)
-				require.True(t, slices.Contains(neighborhood.Neighbors(b, width, names), a))
+				require.True(t, slices.Contains(topology.Neighbors(b, width, names), a))
 			}
 		}
 	}
-	require.InDelta(t, 0.02, neighborhood.RingDistance(0.99, 0.01), 1e-9)
+	require.InDelta(t, 0.02, topology.RingDistance(0.99, 0.01), 1e-9)
 }
 
 // TestPlacesSpread over the ring whatever zones and numbers are in the names.
 func TestPlacesSpread(t *testing.T) {
 	tenths := make([]int, 10)
 	for _, name := range fleet(2000) {
-		place := neighborhood.RingPosition(name)
+		place := topology.RingPosition(name)
 		require.GreaterOrEqual(t, place, 0.0)
 		require.Less(t, place, 1.0)
 		tenths[int(place*10)]++
@@ -71,15 +71,15 @@
 
 // TestUpstreamsGrowWithTheZone, so that none serves more than 32 daemons.
 func TestUpstreamsGrowWithTheZone(t *testing.T) {
-	require.Equal(t, 2, neighborhood.UpstreamCount(0))
-	require.Equal(t, 2, neighborhood.UpstreamCount(20))
-	require.Equal(t, 7, neighborhood.UpstreamCount(197))
-	require.Equal(t, 13, neighborhood.UpstreamCount(394))
+	require.Equal(t, 2, topology.UpstreamCount(0))
+	require.Equal(t, 2, topology.UpstreamCount(20))
+	require.Equal(t, 7, topology.UpstreamCount(197))
+	require.Equal(t, 13, topology.UpstreamCount(394))
 }
 
 // TestSharingIsNeverMoreThanAll, nor less than are likely to know a backend.
 func TestSharingIsNeverMoreThanAll(t *testing.T) {
-	require.Equal(t, 10, neighborhood.MaxDaemonsPerBackend(1, 10))
-	require.Equal(t, 38, neighborhood.MaxDaemonsPerBackend(0.0192, 986))
-	require.Equal(t, 1, neighborhood.MaxDaemonsPerBackend(0.5, 1))
+	require.Equal(t, 10, topology.MaxDaemonsPerBackend(1, 10))
+	require.Equal(t, 38, topology.MaxDaemonsPerBackend(0.0192, 986))
+	require.Equal(t, 1, topology.MaxDaemonsPerBackend(0.5, 1))
 }
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -5,8 +5,8 @@
 	'if failure.HasCode(err, codeUnavailable) {' 'if false {' internal/quota TestKeeperThatWaitsForTheStoreIsAskedAgain
 mutant reservations_not_first internal/quota/ledger.go \
 	'if !added.isReservation() {' 'if true {' internal/quota TestReservationsGoBeforeWhatIsRepeated
-mutant hold_without_bound internal/holding/holding.go \
-	'r.bytes+taken > r.limits.Bytes' 'false' internal/holding TestSmallDaemonsHoldLittle
+mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
+	'r.bytes+taken > r.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsHoldLittle
 mutant held_memory_not_given_back internal/job/held.go \
 	'defer leave()' '_ = leave' internal/job TestHeldSubmissionEndsWithItsCaller
 mutant not_held internal/job/accept.go \
@@ -17,12 +17,12 @@
 	'!e.core.silences.Spend()' 'false' internal/serving TestEarlyEndsHaveABudget
 mutant silent_zone_asked_again internal/serving/exchange.go \
 	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfASilentBackendIsLeft
-mutant nothing_learned internal/silence/silence.go \
-	'learned.add(took)' '_ = took' internal/silence TestQuickServicesAreLeftSoon
-mutant stream_left_before_it_is_late internal/silence/silence.go \
+mutant nothing_learned internal/responsetimeout/responsetimeout.go \
+	'learned.add(took)' '_ = took' internal/responsetimeout TestQuickServicesAreLeftSoon
+mutant stream_left_before_it_is_late internal/responsetimeout/responsetimeout.go \
 	'shortest = objective
 ' 'shortest = objective / floorPart
-' internal/silence TestStreamsAreNotLeftBeforeTheyAreLate
+' internal/responsetimeout TestStreamsAreNotLeftBeforeTheyAreLate
 mutant left_early_in_vain internal/watchdog/watchdog.go \
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -16,10 +16,10 @@
 	'isShort := isCrowded ||' 'isShort := false &&' internal/frontend TestMoreBackendsAreSoughtWhenFewAreLeft
 mutant rare_services_forgotten internal/frontend/section.go \
 	'if usable[service] < p.wantedOf(service) {' 'if usable[service] < 0 {' internal/frontend TestSectionHasEnoughOfEachService
-mutant all_told_directly internal/neighborhood/neighborhood.go \
-	'if other != daemon && distance <= width*reachMargin {' 'if other != daemon {' internal/neighborhood TestNeighborsAreBounded
-mutant two_upstreams_for_any_zone internal/neighborhood/neighborhood.go \
-	'return max(needed, leastUpstreams)' 'return max(min(needed, 1), leastUpstreams)' internal/neighborhood TestUpstreamsGrowWithTheZone
+mutant all_told_directly internal/topology/topology.go \
+	'if other != daemon && distance <= width*reachMargin {' 'if other != daemon {' internal/topology TestNeighborsAreBounded
+mutant two_upstreams_for_any_zone internal/topology/topology.go \
+	'return max(needed, leastUpstreams)' 'return max(min(needed, 1), leastUpstreams)' internal/topology TestUpstreamsGrowWithTheZone
 mutant bulk_gossiped internal/membership/sync.go \
 	'if len(members) < bulkMembers {' 'if true {' internal/membership/simulation TestLargeFleetThatStartsAtOnce
 mutant schema_changed internal/quota/messages.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -1,14 +1,14 @@
 # Mechanisms of the order of waiting.
-mutant waiting_late_asks_as_before internal/waiting/waiting.go \
-	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/waiting TestTooLittleRoomGoesToThoseInTime
-mutant waiting_no_late_share internal/waiting/waiting.go \
-	'late := max(wanted-others, (wanted+others)*overdueShare)' 'late := wanted + others' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
-mutant waiting_never_crowded internal/waiting/waiting.go \
-	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/waiting TestTooLittleRoomGoesToThoseInTime
-mutant waiting_late_hurries internal/waiting/waiting.go \
-	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/waiting TestLateTakesTheRoomThatNobodyInTimeWants
+mutant waiting_late_asks_as_before internal/slotqueue/slotqueue.go \
+	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+mutant waiting_no_late_share internal/slotqueue/slotqueue.go \
+	'late := max(wanted-others, (wanted+others)*overdueShare)' 'late := wanted + others' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
+mutant waiting_never_crowded internal/slotqueue/slotqueue.go \
+	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+mutant waiting_late_hurries internal/slotqueue/slotqueue.go \
+	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
 mutant waiting_alone internal/serving/await.go \
-	'pause := waiting.Pause(request, fleet)' 'pause := waiting.PauseWithoutStats(request)' internal/serving TestLateRequestMakesWay
+	'pause := slotqueue.Pause(request, fleet)' 'pause := slotqueue.PauseWithoutStats(request)' internal/serving TestLateRequestMakesWay
 mutant waiting_queues_in_the_end internal/serving/await.go \
 	'if ctx.Err() == nil && e.isTurnedAway() {' 'if false {' internal/serving TestLateRequestMakesWay
 mutant waiting_turns_streams_away internal/serving/await.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -130,7 +130,7 @@
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
 	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsAreFreshInCalm
 mutant no_look_before_the_first_byte platform/runner.go \
-	'if err := attempt.MayLeave(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
+	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
 mutant no_checkpoint internal/job/owned.go \
@@ -233,7 +233,7 @@
 	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
 mutant silent_link_kept internal/peer/link.go \
 	'if held.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
-mutant every_refusal_promises internal/runs/runs.go \
+mutant every_refusal_promises internal/runrecord/runrecord.go \
 	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunIsTrueAfterUnknownAttempts'
 mutant sends_not_noted internal/serving/exchange.go \
 	'	e.ran.Sent()' '' internal/serving 'TestPromisesOverRandomAttempts|TestPromiseFollowsWhatWasSent'
