--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -135,11 +135,11 @@
 	preemptions    chan string
 	ownPreemptions chan string
 	// waiting are this daemon's batch items that wait for a backend, and
-	// waitingElsewhere those of other daemons by who told.
+	// peerWaiting those of other daemons by who told.
 	waiting        int
 	peerWaiting    map[string]int
 	hasPeerReports bool
-	// waits is what waits here by service, and sumsElsewhere what waits at other
+	// waits is what waits here by service, and peerQueueStats what waits at other
 	// daemons by who told.
 	waits          map[string]*serviceWait
 	peerQueueStats map[string]map[string]slotqueue.Stats
--- a/internal/batchcapacity/demand.go
+++ b/internal/batchcapacity/demand.go
@@ -26,7 +26,7 @@
 	seekEvery = 5
 	// leastLikeness is the correlation of one period with the one before from which
 	// on it is a rhythm. Bursts of equal height in noise come above 0.9; a single
-	// jump or a slow rise is as like itself, and is told by rhythmTurns.
+	// jump or a slow rise is as like itself, and is told by minPeriodTurns.
 	leastLikeness = 0.75
 	// leastSwing is the part of the slots by which online work must rise and fall in
 	// a rhythm for it to matter to batch.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -120,7 +120,7 @@
 	}
 	e.forget(now)
 	if audience.isRelay(e.self.Name) {
-		e.relaySums(now, audience)
+		e.relayQueueStats(now, audience)
 	}
 }
 
@@ -161,7 +161,7 @@
 
 // send tells this daemon's own loads and news.
 func (e *Exchange) send(now time.Time, audience audience) {
-	work := loads{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), sums: e.backends.OwnQueueStats(now)}
+	work := loads{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), queueStats: e.backends.OwnQueueStats(now)}
 	told := news{reads: e.backends.TakePromptReads(), failures: e.backends.TakeUnsentFailures()}
 	isSame := work.equal(e.last) && told.isEmpty()
 	if isSame && (work.isEmpty() || now.Sub(e.sentAt) < max(refreshInterval, audience.interval())) {
@@ -201,9 +201,9 @@
 	}
 }
 
-// relaySums tells every daemon of the zone the work of all others, and the
+// relayQueueStats tells every daemon of the zone the work of all others, and the
 // other zones the total of this one.
-func (e *Exchange) relaySums(now time.Time, audience audience) {
+func (e *Exchange) relayQueueStats(now time.Time, audience audience) {
 	if now.Sub(e.othersAt) < sendInterval-sendInterval/4 {
 		return
 	}
@@ -220,7 +220,7 @@
 	e.heard[othersOfFleet] = now
 	e.mutex.Unlock()
 	e.backends.SetPeerLoads(othersOfFleet, own.inFlight, own.waiting)
-	e.backends.SetPeerQueueStats(othersOfFleet, own.sums)
+	e.backends.SetPeerQueueStats(othersOfFleet, own.queueStats)
 	for name, work := range others {
 		e.tell([]string{name}, keyOthers+e.self.Name, work, pending.forMember(name), now)
 	}
@@ -283,7 +283,7 @@
 	e.heard[name] = now
 	e.mutex.Unlock()
 	e.backends.SetPeerLoads(name, work.inFlight, work.waiting)
-	e.backends.SetPeerQueueStats(name, work.sums)
+	e.backends.SetPeerQueueStats(name, work.queueStats)
 }
 
 func (e *Exchange) drop(name string) {
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -17,14 +17,14 @@
 	inFlight map[string]backend.PeerLoad
 	// waiting is the number of batch items that wait for a backend.
 	waiting int
-	// sums is what online requests wait for, by service.
-	sums map[string]slotqueue.Stats
+	// queueStats is what online requests wait for, by service.
+	queueStats map[string]slotqueue.Stats
 }
 
 // add counts further work.
 func (l *loads) add(other loads) {
 	l.waiting += other.waiting
-	l.sums = addSums(l.sums, other.sums)
+	l.queueStats = addQueueStats(l.queueStats, other.queueStats)
 	for id, load := range other.inFlight {
 		l.inFlight[id] = l.inFlight[id].Plus(load)
 	}
@@ -32,18 +32,20 @@
 
 // without returns the work less a part of it.
 func (l loads) without(part loads) loads {
-	left := loads{inFlight: make(map[string]backend.PeerLoad, len(l.inFlight)), waiting: l.waiting - part.waiting, sums: sumsWithout(l.sums, part.sums)}
+	left := loads{inFlight: make(map[string]backend.PeerLoad, len(l.inFlight)), waiting: l.waiting - part.waiting, queueStats: queueStatsWithout(l.queueStats, part.queueStats)}
 	for id, sum := range l.inFlight {
 		left.inFlight[id] = sum.Minus(part.inFlight[id])
 	}
 	return left
 }
 
-func (l loads) isEmpty() bool { return len(l.inFlight) == 0 && l.waiting == 0 && len(l.sums) == 0 }
+func (l loads) isEmpty() bool {
+	return len(l.inFlight) == 0 && l.waiting == 0 && len(l.queueStats) == 0
+}
 
 // equal reports whether both hold the same work.
 func (l loads) equal(other loads) bool {
-	return l.waiting == other.waiting && maps.Equal(l.inFlight, other.inFlight) && maps.Equal(l.sums, other.sums)
+	return l.waiting == other.waiting && maps.Equal(l.inFlight, other.inFlight) && maps.Equal(l.queueStats, other.queueStats)
 }
 
 // news is what is told once: large prompt parts that were sent, and failures
@@ -73,31 +75,31 @@
 
 // loadMessage carries loads and news between daemons.
 type loadMessage struct {
-	Backends []backendLoad   `avro:"backends"`
-	Reads    []readRecord    `avro:"reads"`
-	Failures []failureRecord `avro:"failures"`
-	Waiting  int             `avro:"waiting"`
-	Sums     []sumsRecord    `avro:"sums"`
+	Backends   []backendLoad      `avro:"backends"`
+	Reads      []readRecord       `avro:"reads"`
+	Failures   []failureRecord    `avro:"failures"`
+	Waiting    int                `avro:"waiting"`
+	QueueStats []queueStatsRecord `avro:"sums"`
 }
 
 type failureRecord struct {
-	Backend string `avro:"backend"`
-	Born    int64  `avro:"born"`
-	Count   int    `avro:"count"`
+	Backend     string `avro:"backend"`
+	StartMillis int64  `avro:"born"`
+	Count       int    `avro:"count"`
 }
 
 type readRecord struct {
-	Backend string `avro:"backend"`
-	Born    int64  `avro:"born"`
-	Part    string `avro:"part"`
+	Backend     string `avro:"backend"`
+	StartMillis int64  `avro:"born"`
+	Part        string `avro:"part"`
 }
 
 type backendLoad struct {
-	ID      string `avro:"id"`
-	Born    int64  `avro:"born"`
-	Online  int    `avro:"online"`
-	Batch   int    `avro:"batch"`
-	Pending int    `avro:"pending"`
+	ID          string `avro:"id"`
+	StartMillis int64  `avro:"born"`
+	Online      int    `avro:"online"`
+	Batch       int    `avro:"batch"`
+	Pending     int    `avro:"pending"`
 }
 
 var loadSchema = avrocodec.MustParse(`{"type":"record","name":"load","fields":[{"name":"backends","type":{"type":"array","items":{
@@ -113,18 +115,18 @@
 	{"name":"freed","type":"int"}]}},"default":[]}]}`)
 
 func encode(work loads, told news) ([]byte, error) {
-	message := loadMessage{Backends: make([]backendLoad, 0, len(work.inFlight)), Reads: []readRecord{}, Failures: []failureRecord{}, Waiting: work.waiting, Sums: recordsOf(work.sums)}
+	message := loadMessage{Backends: make([]backendLoad, 0, len(work.inFlight)), Reads: []readRecord{}, Failures: []failureRecord{}, Waiting: work.waiting, QueueStats: queueStatsRecords(work.queueStats)}
 	for id, load := range work.inFlight {
 		if load.IsIdle() {
 			continue
 		}
-		message.Backends = append(message.Backends, backendLoad{ID: id, Born: load.StartMillis, Online: load.Online, Batch: load.Batch, Pending: load.PendingTokens})
+		message.Backends = append(message.Backends, backendLoad{ID: id, StartMillis: load.StartMillis, Online: load.Online, Batch: load.Batch, Pending: load.PendingTokens})
 	}
 	for _, read := range told.reads {
-		message.Reads = append(message.Reads, readRecord{Backend: read.Incarnation.ID, Born: read.Incarnation.StartMillis, Part: read.Part})
+		message.Reads = append(message.Reads, readRecord{Backend: read.Incarnation.ID, StartMillis: read.Incarnation.StartMillis, Part: read.Part})
 	}
 	for life, count := range told.failures {
-		message.Failures = append(message.Failures, failureRecord{Backend: life.ID, Born: life.StartMillis, Count: count})
+		message.Failures = append(message.Failures, failureRecord{Backend: life.ID, StartMillis: life.StartMillis, Count: count})
 	}
 	payload, err := avro.Marshal(loadSchema, message)
 	return payload, errors.WithStack(err)
@@ -135,16 +137,16 @@
 	if err := avrocodec.Unmarshal(loadSchema, payload, &message); err != nil {
 		return loads{}, news{}, errors.WithStack(err)
 	}
-	work := loads{inFlight: make(map[string]backend.PeerLoad, len(message.Backends)), waiting: message.Waiting, sums: sumsOf(message.Sums)}
+	work := loads{inFlight: make(map[string]backend.PeerLoad, len(message.Backends)), waiting: message.Waiting, queueStats: queueStatsOf(message.QueueStats)}
 	for _, each := range message.Backends {
-		work.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.Born, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
+		work.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.StartMillis, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
 	}
 	told := news{reads: make([]backend.PromptRead, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
 	for _, each := range message.Reads {
-		told.reads = append(told.reads, backend.PromptRead{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.Born}, Part: each.Part})
+		told.reads = append(told.reads, backend.PromptRead{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}, Part: each.Part})
 	}
 	for _, each := range message.Failures {
-		told.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.Born}] += each.Count
+		told.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}] += each.Count
 	}
 	return work, told, nil
 }
--- a/internal/exchange/sums_test.go
+++ b/internal/exchange/queuestats_test.go
@@ -25,13 +25,13 @@
 // TestSumsSurviveTheWire, and messages of daemons that tell none are read as before.
 func TestSumsSurviveTheWire(t *testing.T) {
 	sent := loads{inFlight: map[string]backend.PeerLoad{"one": {Online: 1}}, waiting: 7,
-		sums: map[string]slotqueue.Stats{"s": {OnTime: 1, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 4}}}
+		queueStats: map[string]slotqueue.Stats{"s": {OnTime: 1, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 4}}}
 	payload, err := encode(sent, news{})
 	require.NoError(t, err)
 	got, _, err := decode(payload)
 	require.NoError(t, err)
 	require.True(t, sent.equal(got))
-	require.Equal(t, sent.sums, got.sums)
+	require.Equal(t, sent.queueStats, got.queueStats)
 
 	older := loadMessage{Backends: []backendLoad{{ID: "one", Online: 1}}, Reads: []readRecord{}, Failures: []failureRecord{}, Waiting: 7}
 	payload, err = avro.Marshal(withoutSums(t), older)
@@ -40,13 +40,13 @@
 	require.NoError(t, err)
 	require.Equal(t, 7, got.waiting)
 	require.Equal(t, sent.inFlight, got.inFlight)
-	require.Empty(t, got.sums)
+	require.Empty(t, got.queueStats)
 }
 
 // TestRelaySumsWhatWaits: a daemon is told what waits at all others, and not at itself.
 func TestRelaySumsWhatWaits(t *testing.T) {
 	told := func(service string, sums slotqueue.Stats) loads {
-		return loads{inFlight: map[string]backend.PeerLoad{}, sums: map[string]slotqueue.Stats{service: sums}}
+		return loads{inFlight: map[string]backend.PeerLoad{}, queueStats: map[string]slotqueue.Stats{service: sums}}
 	}
 	gathered, now := newRelay(), time.Now()
 	gathered.noteMember("a", told("s", slotqueue.Stats{OnTime: 1, Overdue: 2, FreedSlots: 3}), news{}, now)
@@ -54,9 +54,9 @@
 	gathered.noteMember("c", told("other", slotqueue.Stats{Overdue: 5}), news{}, now)
 	gathered.noteZone("far", told("s", slotqueue.Stats{OnTime: 100, FreedSlots: 200}), news{}, now)
 	total := gathered.fleetTotal()
-	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 110, FreedSlots: 200}, "other": {Overdue: 5}}, gathered.othersOf("a", total).sums)
-	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 111, Overdue: 2, FreedSlots: 203}}, gathered.othersOf("c", total).sums)
-	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 11, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 5}}, gathered.zoneTotal().sums)
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 110, FreedSlots: 200}, "other": {Overdue: 5}}, gathered.othersOf("a", total).queueStats)
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 111, Overdue: 2, FreedSlots: 203}}, gathered.othersOf("c", total).queueStats)
+	require.Equal(t, map[string]slotqueue.Stats{"s": {OnTime: 11, Overdue: 2, FreedSlots: 3}, "other": {Overdue: 5}}, gathered.zoneTotal().queueStats)
 	require.False(t, told("s", slotqueue.Stats{Overdue: 1}).isEmpty())
 	require.False(t, told("s", slotqueue.Stats{Overdue: 1}).equal(told("s", slotqueue.Stats{Overdue: 2})))
 }
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -20,7 +20,7 @@
 	settlePatience = time.Second
 	keeperRest     = 2 * time.Second
 	// pressedShare is the share of the limit from which on owners tell at once
-	// what ended, and pressedTime how long that holds.
+	// what ended, and nearLimitTime how long that holds.
 	pressedShare  = 0.5
 	nearLimitTime = 5 * time.Second
 	// announceInterval is the shortest time between two announcements.
@@ -52,7 +52,7 @@
 
 	mutex   sync.Mutex
 	ledgers map[string]*ledger
-	// nearLimitSince, pressedAt and announcedAt are by account, avoided by a
+	// nearLimitSince, nearLimitAt and announcedAt are by account, avoided by a
 	// keeper's address.
 	nearLimitSince map[string]time.Time
 	nearLimitAt    map[string]time.Time
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -202,7 +202,7 @@
 	r.best.IsAdmitted, r.best.RetryAfter, r.best.Coordinator = answer.IsGranted, wait, keeper.Name
 	r.best.Level, r.best.Config, r.best.Source = answer.Level, answer.Config, SourceCoordinator
 	if answer.IsStandIn {
-		r.best.Source = SourceStandIn
+		r.best.Source = SourceBackup
 	}
 	return answer.IsGranted
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -74,8 +74,8 @@
 	SourceUnlimited Source = "unlimited"
 	// SourceCoordinator tells that the keeper of a part decided.
 	SourceCoordinator Source = "keeper"
-	// SourceStandIn tells that a daemon decided in place of a silent keeper.
-	SourceStandIn Source = "stand_in"
+	// SourceBackup tells that a daemon decided in place of a silent keeper.
+	SourceBackup Source = "stand_in"
 	// SourceShare tells that no keeper could be asked, and that this daemon
 	// decided by its own share of the limit.
 	SourceShare Source = "own_share"
--- a/internal/slotqueue/slotqueue.go
+++ b/internal/slotqueue/slotqueue.go
@@ -32,7 +32,7 @@
 
 const (
 	// ShortestPause and LongestPause bound the time between two questions of a
-	// request that can still be in time; asksInTime is how many of the present
+	// request that can still be in time; attemptsOnTime is how many of the present
 	// pauses fit into the time that it has left.
 	ShortestPause  = 5 * time.Millisecond
 	LongestPause   = 20 * time.Millisecond
@@ -66,7 +66,7 @@
 
 // Pause returns how long a request waits from one question for a place to the next,
 // by what the whole fleet waits for. The sums are those of a moment ago: a request
-// looks at them again at least every LatePause.
+// looks at them again at least every OverduePause.
 func Pause(request Request, fleet Stats) time.Duration {
 	if !request.IsOverdue() || fleet.FreedSlots <= 0 {
 		return PauseWithoutStats(request)
--- a/internal/submissionbuffer/submissionbuffer.go
+++ b/internal/submissionbuffer/submissionbuffer.go
@@ -20,7 +20,7 @@
 	// unboundedMegabytes stands for the memory of a daemon without a bound.
 	unboundedMegabytes = 512
 
-	// minRetryAfter and longestReturn bound the advice to a caller that is not held.
+	// minRetryAfter and maxRetryAfter bound the advice to a caller that is not held.
 	// Callers wait for some seconds in all.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -36,7 +36,7 @@
 // Replace implements Consumer.
 func (r *Replica) Replace(rows []Row, version Version) { r.Keep(rows, version, nil, false) }
 
-// Keep implements PartKeeper.
+// Keep implements SectionConsumer.
 func (r *Replica) Keep(rows []Row, version Version, missed []Row, isGapless bool) {
 	r.mutex.Lock()
 	r.rows = map[replicaKey]Row{}
@@ -62,14 +62,14 @@
 	r.Consumer.Change(kept, version)
 }
 
-// SetSection implements PartKeeper.
+// SetSection implements SectionConsumer.
 func (r *Replica) SetSection(section Section) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.section = section
 }
 
-// ChangePart implements PartKeeper. Changes of the rest of the table are not known, so that
+// ChangePart implements SectionConsumer. Changes of the rest of the table are not known, so that
 // none up to this version can be told to others.
 func (r *Replica) ChangePart(rows []Row, version Version) {
 	r.mutex.Lock()
@@ -191,7 +191,7 @@
 	return r.all(), r.version, true
 }
 
-// Rows implements PartKeeper.
+// Rows implements SectionConsumer.
 func (r *Replica) Rows() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
