--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -126,7 +126,7 @@
 	if isReserved {
 		patience = keeperPatience
 	}
-	outcomes, err := a.askKeeper(ctx, address, patience, Request{Account: account, Limit: limit.Tokens, Config: limit.Config, Operations: operations})
+	outcomes, err := a.askCoordinator(ctx, address, patience, Request{Account: account, Limit: limit.Tokens, Config: limit.Config, Operations: operations})
 	if err != nil && isReserved {
 		return a.ledger(account).apply(ctx, limit, operations)
 	}
@@ -142,7 +142,7 @@
 	return Answer{Outcomes: outcomes}, err
 }
 
-func (a *Accounts) askKeeper(ctx context.Context, address string, patience time.Duration, request Request) ([]Outcome, error) {
+func (a *Accounts) askCoordinator(ctx context.Context, address string, patience time.Duration, request Request) ([]Outcome, error) {
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	answer, err := a.peers.Apply(bounded, address, request)
--- a/internal/serving/await.go
+++ b/internal/serving/await.go
@@ -193,6 +193,6 @@
 		return false
 	}
 	chosen.StartMillis = instance.StartMillis // it may have started again since it was chosen
-	e.held = heldPlace{candidate: chosen, name: attempt.Place}
-	return attempt.Place != ""
+	e.held = heldPlace{candidate: chosen, name: attempt.Reservation}
+	return attempt.Reservation != ""
 }
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -188,12 +188,12 @@
 		LastEvent: e.lastEvent, Stream: e.request.Route.Kind == route.KindStream,
 	}
 	if e.held.name != "" {
-		attempt.Place, e.held = e.held.name, heldPlace{}
+		attempt.Reservation, e.held = e.held.name, heldPlace{}
 	} else if err := e.reserve(ctx, &attempt); err != nil {
 		return err
 	}
 	e.placedAt = time.Time{}
-	if attempt.Place != "" {
+	if attempt.Reservation != "" {
 		e.placedAt = time.Now()
 	}
 	attempt.Permit = func() error {
--- a/internal/serving/origin.go
+++ b/internal/serving/origin.go
@@ -32,5 +32,5 @@
 func (e *exchange) noteSent(attempt *Attempt) {
 	e.core.Logger.Info("request_sent", "id", e.request.ID, "backend", attempt.Instance.ID, "born", attempt.Instance.StartMillis, "attempt", e.sends,
 		"kind", string(KindOfSend(e.sends, attempt.LastEvent)), "caller", e.request.Caller, "tenant", attempt.Tenant,
-		"route", e.request.Route.Name, "last_event", attempt.LastEvent, "place", attempt.Place)
+		"route", e.request.Route.Name, "last_event", attempt.LastEvent, "place", attempt.Reservation)
 }
--- a/internal/serving/request.go
+++ b/internal/serving/request.go
@@ -97,8 +97,8 @@
 	LastEvent int64
 	// Stream tells that the answer is a series of events.
 	Stream bool
-	// Place names a place that was set aside at the backend; empty means none.
-	Place string
+	// Reservation names a place that was set aside at the backend; empty means none.
+	Reservation string
 	// Permit is asked once the connection is there, just before the first byte leaves;
 	// an error, which is an *AttemptError, takes the attempt back. Nil permits it.
 	Permit func() error
--- a/internal/serving/reserve.go
+++ b/internal/serving/reserve.go
@@ -59,7 +59,7 @@
 	bounded, cancel := context.WithTimeout(ctx, reservationPatience)
 	defer cancel()
 	place, err := reserver.Reserve(bounded, Reservation{Attempt: *attempt, Tokens: tokens, Time: min(reservationTime, longest)})
-	attempt.Place = place
+	attempt.Reservation = place
 	return err
 }
 
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -69,10 +69,10 @@
 	if attempt.LastEvent != s.lastSeen.last {
 		s.problems = append(s.problems, fmt.Sprintf("asked to go on behind %d, the caller has %d", attempt.LastEvent, s.lastSeen.last))
 	}
-	if attempt.Place != "" && attempt.Place != "place at "+attempt.Instance.ID {
+	if attempt.Reservation != "" && attempt.Reservation != "place at "+attempt.Instance.ID {
 		s.problems = append(s.problems, "sent with the place of another back end")
 	}
-	if attempt.Place != s.place {
+	if attempt.Reservation != s.place {
 		s.problems = append(s.problems, "sent without the place that was set aside")
 	}
 	s.place = "" // a place serves once
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -20,7 +20,7 @@
 mutant waiting_switch internal/serving/await.go \
 	'if !e.core.OrdersWaiting || e.lastEvent > 0 ||' 'if e.lastEvent > 0 ||' internal/serving TestOrderIsOffWhereItIsSwitchedOff
 mutant waiting_sums_not_told internal/exchange/message.go \
-	'QueueStats: queueStatsRecords(work.queueStats)' 'QueueStats: []sumsRecord{}' internal/exchange TestSumsSurviveTheWire
+	'QueueStats: queueStatsRecords(work.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestSumsSurviveTheWire
 mutant waiting_sums_not_added internal/exchange/message.go \
 	'l.queueStats = addQueueStats(l.queueStats, other.queueStats)' '' internal/exchange TestRelaySumsWhatWaits
 mutant waiting_own_sums_told_back internal/exchange/message.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -180,7 +180,7 @@
 	'e.excluded[e.last.ID] = true
 			continue' 'continue' internal/serving TestRequestGoesWhereAPlaceIs
 mutant place_not_sent platform/runner.go \
-	'request.Field(headerReservation, attempt.Place)' '' platform TestStreamsTakeAPlaceFirst
+	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isCrowded && known.batch > 0 {' 'if false {' internal/backend TestOwnerHearsAtOnceOfWaitingOnlineRequests
 mutant items_queue internal/job/pacing.go \
