--- a/internal/backend/closed_test.go
+++ b/internal/backend/admission_test.go
@@ -10,7 +10,7 @@
 	"topazpulley/internal/warmup"
 )
 
-// isOpen reports whether a backend is offered and taken for new work.
+// isOpen reports whether a backend can be acquired, and checks that Candidates agrees.
 func isOpen(t *testing.T, set *backend.Set, id string) bool {
 	t.Helper()
 	isOffered := false
@@ -25,9 +25,9 @@
 	return isTaken
 }
 
-// TestEvacuatedZoneGetsNothingNew, backends that are listed later included, nor places
-// that were set aside before, until the zone is given back.
-func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
+// Backends of an evacuated zone get no new work, including backends listed later and
+// requests with a reservation, until the zone is reopened.
+func TestEvacuatedZoneGetsNoNewWork(t *testing.T) {
 	set := backend.NewSet()
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, Zone: "one"})
 	set.Put(backend.Instance{ID: "b", Service: "s", Slots: 4, Zone: "two"})
@@ -45,7 +45,7 @@
 
 	set.SetEvacuated(map[string]bool{"one": true, "two": true}, time.Now())
 	require.True(t, set.IsEvacuated("s"))
-	require.False(t, set.IsEvacuated("unknown"), "a service without back ends is not evacuated")
+	require.False(t, set.IsEvacuated("unknown"), "a service without backends is not evacuated")
 
 	_, reopened = set.SetEvacuated(map[string]bool{"two": true}, time.Now())
 	require.Equal(t, []string{"one"}, reopened)
@@ -53,51 +53,51 @@
 	require.False(t, isOpen(t, set, "b"))
 }
 
-// pacedSet is a set in which this daemon may send a cold backend one request a turn.
-func pacedSet(perSecond float64) *backend.Set {
+// setWithColdLimit returns a set in which this daemon may send a cold backend one request
+// per window.
+func setWithColdLimit(perSecond float64) *backend.Set {
 	set := backend.NewSet()
 	set.SetColdLimits(func(string) float64 { return perSecond }, func(backend.Incarnation, float64, warmup.Window) int { return 1 })
 	return set
 }
 
-// TestColdBackendGetsItsSeats and no more, until it is warm.
-func TestColdBackendGetsItsSeats(t *testing.T) {
-	set := pacedSet(14)
+// A cold backend gets no more than its allowance until it is warm.
+func TestColdBackendAllowance(t *testing.T) {
+	set := setWithColdLimit(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
 	taken := 0
-	begun := warmup.WindowAt(time.Now())
+	first := warmup.WindowAt(time.Now())
 	for range 100 {
 		if _, isTaken := set.Acquire("a", backend.Batch, nil); isTaken {
 			taken++
 		}
 	}
-	turns := int(warmup.WindowAt(time.Now()) - begun + 1)
+	windows := int(warmup.WindowAt(time.Now()) - first + 1)
 	require.Positive(t, taken)
-	require.LessOrEqual(t, taken, turns)
+	require.LessOrEqual(t, taken, windows)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4})
-	require.True(t, isOpen(t, set, "a"), "its entry says that it is warm")
+	require.True(t, isOpen(t, set, "a"), "the backend is warm by its entry")
 }
 
-// TestReopenedZoneIsTakenForCold until entries can have told whether it is.
-func TestReopenedZoneIsTakenForCold(t *testing.T) {
-	set := pacedSet(14)
+// Backends of a reopened zone count as cold until their entries are up to date.
+func TestReopenedZoneIsCold(t *testing.T) {
+	set := setWithColdLimit(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, Zone: "one"})
 	set.SetEvacuated(map[string]bool{"one": true}, time.Now())
 	set.SetEvacuated(nil, time.Now().Add(time.Hour))
 	taken := 0
-	begun := warmup.WindowAt(time.Now())
+	first := warmup.WindowAt(time.Now())
 	for range 100 {
 		if _, isTaken := set.Acquire("a", backend.Online, nil); isTaken {
 			taken++
 		}
 	}
-	require.LessOrEqual(t, taken, int(warmup.WindowAt(time.Now())-begun+1))
+	require.LessOrEqual(t, taken, int(warmup.WindowAt(time.Now())-first+1))
 }
 
-// TestServiceWithoutRateTakesAnyNumber: where the configuration names no rate, a cold backend
-// is used as others are.
-func TestServiceWithoutRateTakesAnyNumber(t *testing.T) {
-	set := pacedSet(0)
+// Without a configured rate, a cold backend gets any number of requests.
+func TestServiceWithoutColdRateIsUnlimited(t *testing.T) {
+	set := setWithColdLimit(0)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
 	for range 10 {
 		require.True(t, isOpen(t, set, "a"))
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,8 +1,7 @@
-// Package backend keeps what a daemon knows of the processes that run
-// requests: which exist, whether they leave, how loaded they are (own requests,
-// what other daemons tell, what the backends report), which prompts they have
-// read, and whether they failed lately. The choice itself is in package
-// routing.
+// Package backend holds a daemon's view of the backends: which exist, which are
+// draining, their load (own requests, other daemons' requests, the backends' own
+// reports), the prompts that they read recently, and their recent failures.
+// Package routing selects one of them for a request.
 package backend
 
 import (
@@ -15,36 +14,36 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// Instance is a backend as discovery lists it.
+// Instance is a backend as service discovery lists it.
 type Instance struct {
-	// ID is unique among backends. A process may start again under it.
+	// ID is unique among backends. A restarted process may keep its id.
 	ID string
-	// StartMillis is the Unix millisecond at which the process started; 0 means not told.
+	// StartMillis is the start time of the process in Unix milliseconds; 0 if unknown.
 	StartMillis int64
 	Service     string
 	// Address is IP:port.
 	Address string
 	Zone    string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the backend runs at once.
 	Slots int
-	// Draining tells that it is about to leave and must get no new work.
+	// Draining is set when the backend is about to stop and must get no new work.
 	Draining bool
-	// ColdFor is for how much longer it is slow, when the entry was read: it has just
-	// started, or lost what it keeps in memory.
+	// ColdFor is the rest of the warm-up at the time the entry was read. A backend is
+	// cold after a start and after it lost its cache.
 	ColdFor time.Duration
 }
 
-// Report is what a backend says of its load.
+// Report is the load that a backend reports.
 type Report struct {
 	Running int
 	Waiting int
 	Slots   int
-	// WorkPercent is how long work takes there now, in per cent of the usual; 0 means
-	// not told. It changes many times a second: nothing decides by it yet.
+	// WorkPercent is the current duration of work in per cent of the usual duration; 0
+	// if unknown. It isn't used for decisions.
 	WorkPercent int
 }
 
-// Class tells online work from batch work.
+// Class is the class of a request: online or batch.
 type Class uint8
 
 // The classes of work.
@@ -54,12 +53,12 @@
 )
 
 const (
-	// promptMemory bounds the prompt parts remembered per backend.
-	promptMemory = 256
-	// assumedPropagation holds until the exchange with other daemons tells.
-	assumedPropagation = 200 * time.Millisecond
-	// reportAge is how long a backend's own report counts.
-	reportAge = 400 * time.Millisecond
+	// maxPromptParts limits the prompt parts remembered per backend.
+	maxPromptParts = 256
+	// defaultPropagation is used until SetPropagation is called.
+	defaultPropagation = 200 * time.Millisecond
+	// maxReportAge is the age after which a backend's own report is ignored.
+	maxReportAge = 400 * time.Millisecond
 )
 
 // state is a backend with its load. Set.mutex guards it.
@@ -70,23 +69,23 @@
 	peers         map[string]PeerLoad
 	report        Report
 	reportedAt    time.Time
-	// failures counts failures in a row that this daemon saw; failureScore
-	// those that all daemons saw, each counting less with time.
+	// failures counts consecutive failures seen by this daemon. failureScore sums the
+	// failures seen by all daemons and decays with time.
 	failures     int
 	failureScore float64
 	scoredAt     time.Time
 	ejectedUntil time.Time
 	ejectedFor   time.Duration
 	prompts      *promptCache
-	// coldUntil is when the backend works at its usual speed, and seats what this daemon
-	// may send it until then.
+	// coldUntil is the end of the warm-up. coldAllowance limits what this daemon sends
+	// until then.
 	coldUntil     time.Time
 	coldAllowance coldAllowance
 }
 
 // PeerLoad is another daemon's work in flight at a backend.
 type PeerLoad struct {
-	// StartMillis names the life of the backend at which the work is, as in Instance.
+	// StartMillis identifies the incarnation at which the work runs, as in Instance.
 	StartMillis   int64
 	Online        int
 	Batch         int
@@ -96,8 +95,8 @@
 // IsIdle reports whether there is no work.
 func (l PeerLoad) IsIdle() bool { return l.Online == 0 && l.Batch == 0 && l.PendingTokens == 0 }
 
-// Plus returns both loads together. Work at an earlier life of the backend has ended
-// with it, and does not count beside work at a later one.
+// Plus returns the sum of both loads. If they belong to different incarnations, it
+// returns the load of the later one: work at the earlier one ended with it.
 func (l PeerLoad) Plus(other PeerLoad) PeerLoad {
 	switch {
 	case other.StartMillis > l.StartMillis:
@@ -108,8 +107,8 @@
 	return PeerLoad{StartMillis: l.StartMillis, Online: l.Online + other.Online, Batch: l.Batch + other.Batch, PendingTokens: l.PendingTokens + other.PendingTokens}
 }
 
-// Minus returns the load less a part of it, which may be of an earlier life and is
-// then no part.
+// Minus returns the load without part. A part of another incarnation isn't
+// subtracted.
 func (l PeerLoad) Minus(part PeerLoad) PeerLoad {
 	if part.StartMillis != l.StartMillis {
 		return l
@@ -117,36 +116,37 @@
 	return PeerLoad{StartMillis: l.StartMillis, Online: l.Online - part.Online, Batch: l.Batch - part.Batch, PendingTokens: l.PendingTokens - part.PendingTokens}
 }
 
-// Set is all backends that a daemon knows. It is safe for concurrent use.
+// Set holds all backends known to a daemon. It is safe for concurrent use.
 type Set struct {
 	mutex     sync.Mutex
 	states    map[string]*state
 	byService map[string][]*state
-	// births are the latest of backends that are gone.
-	births *births
-	reads  []PromptRead
-	// unsentFailures are failures that the other daemons were not told yet.
+	// startTimes holds the latest start times of removed backends.
+	startTimes *startTimes
+	// promptReads are the reads not yet sent to other daemons.
+	promptReads []PromptRead
+	// unsentFailures are the failures not yet sent to other daemons.
 	unsentFailures map[Incarnation]int
 	publishSignal  chan struct{}
-	// overloaded tells that online requests may wait for this daemon's items.
+	// overloaded receives when online requests may wait for this daemon's batch items.
 	overloaded chan struct{}
-	// preemptions are backends at which other daemons' items should give way,
-	// and givingWay those at which an item of this daemon should.
+	// preemptions receives the backends at which another daemon should preempt an item,
+	// ownPreemptions those at which this daemon should.
 	preemptions    chan string
 	ownPreemptions chan string
-	// waiting are this daemon's batch items that wait for a backend, and
-	// peerWaiting those of other daemons by who told.
+	// waiting is the number of this daemon's batch items that wait for a backend,
+	// peerWaiting those of other daemons by daemon.
 	waiting        int
 	peerWaiting    map[string]int
 	hasPeerReports bool
-	// waits is what waits here by service, and peerQueueStats what waits at other
-	// daemons by who told.
+	// waits is the queue of this daemon by service, peerQueueStats the queue stats of
+	// other daemons by daemon and service.
 	waits          map[string]*serviceWait
 	peerQueueStats map[string]map[string]slotqueue.Stats
-	// propagation is the time until other daemons know of a change here.
+	// propagation is the time until other daemons learn of a change here.
 	propagation time.Duration
-	closing     closing
-	// connected returns the lives to which an idle connection is open.
+	admission   admission
+	// connected returns the incarnations with an open idle connection.
 	connected func() map[Incarnation]bool
 }
 
@@ -154,103 +154,103 @@
 func NewSet() *Set {
 	return &Set{
 		states: map[string]*state{}, byService: map[string][]*state{}, publishSignal: make(chan struct{}, 1), overloaded: make(chan struct{}, 1),
-		unsentFailures: map[Incarnation]int{}, births: newBirths(), peerWaiting: map[string]int{}, propagation: assumedPropagation,
-		preemptions: make(chan string, preemptQueue), ownPreemptions: make(chan string, preemptQueue),
-		connected: func() map[Incarnation]bool { return nil }, closing: newClosing(),
+		unsentFailures: map[Incarnation]int{}, startTimes: newStartTimes(), peerWaiting: map[string]int{}, propagation: defaultPropagation,
+		preemptions: make(chan string, maxQueuedPreemptions), ownPreemptions: make(chan string, maxQueuedPreemptions),
+		connected: func() map[Incarnation]bool { return nil }, admission: newAdmission(),
 		waits: map[string]*serviceWait{}, peerQueueStats: map[string]map[string]slotqueue.Stats{},
 	}
 }
 
-// Put takes an entry of discovery in and tells what it changes. With a new life all
-// that is known of the one before goes; leases of that one count nothing any more.
+// Put adds or updates an entry of service discovery and returns what it changed. A new
+// incarnation replaces the state of the previous one, whose leases no longer count.
 func (s *Set) Put(instance Instance) Listing {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.states[instance.ID]
-	listing := s.judge(known, instance)
+	listing := s.classify(known, instance)
 	switch listing {
 	case ListingStale:
 	case ListingSame:
 		instance.StartMillis = known.StartMillis
 		s.update(known, instance)
-		known.noteCold(time.Now())
+		known.setColdUntil(time.Now())
 	default:
 		s.remove(instance.ID)
-		added := &state{Instance: instance, peers: map[string]PeerLoad{}, prompts: newPromptCache(promptMemory)}
-		added.noteCold(time.Now())
+		added := &state{Instance: instance, peers: map[string]PeerLoad{}, prompts: newPromptCache(maxPromptParts)}
+		added.setColdUntil(time.Now())
 		s.states[instance.ID] = added
-		s.putIn(added)
+		s.addToService(added)
 	}
 	return listing
 }
 
-func (s *Set) judge(known *state, told Instance) Listing {
-	newest := s.births.newest(told.ID)
+func (s *Set) classify(known *state, entry Instance) Listing {
+	newest := s.startTimes.newest(entry.ID)
 	if known == nil {
-		return judge(nil, newest, told)
+		return classify(nil, newest, entry)
 	}
-	return judge(&known.Instance, max(newest, known.StartMillis), told)
+	return classify(&known.Instance, max(newest, known.StartMillis), entry)
 }
 
-// update takes over what is told of a life that is known.
+// update applies an entry to an incarnation that is already known.
 func (s *Set) update(known *state, instance Instance) {
 	if known.Service == instance.Service {
 		known.Instance = instance
 		return
 	}
-	s.takeOut(known)
+	s.removeFromService(known)
 	known.Instance = instance
-	s.putIn(known)
+	s.addToService(known)
 }
 
-// noteCold takes over for how long the backend's entry says that it is cold.
-func (k *state) noteCold(now time.Time) { k.coldUntil = now.Add(k.ColdFor) }
+// setColdUntil sets the end of the warm-up from the entry.
+func (k *state) setColdUntil(now time.Time) { k.coldUntil = now.Add(k.ColdFor) }
 
-// current returns a backend if its present life is the one named, else nil. mutex must
-// be held.
-func (s *Set) current(life Incarnation) *state {
-	known, exists := s.states[life.ID]
-	if !exists || known.StartMillis != life.StartMillis {
+// current returns the backend if incarnation is its current one, else nil. mutex must be
+// held.
+func (s *Set) current(incarnation Incarnation) *state {
+	known, exists := s.states[incarnation.ID]
+	if !exists || known.StartMillis != incarnation.StartMillis {
 		return nil
 	}
 	return known
 }
 
-// IsListed reports whether a life is a backend's present one.
-func (s *Set) IsListed(life Incarnation) bool {
+// IsListed reports whether incarnation is the current one of its backend.
+func (s *Set) IsListed(incarnation Incarnation) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.current(life) != nil
+	return s.current(incarnation) != nil
 }
 
-// HasSuccessor reports whether a later life of the same backend was ever told.
-func (s *Set) HasSuccessor(life Incarnation) bool {
+// HasSuccessor reports whether a later incarnation of the same backend was ever listed.
+func (s *Set) HasSuccessor(incarnation Incarnation) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	newest := s.births.newest(life.ID)
-	if known, exists := s.states[life.ID]; exists {
+	newest := s.startTimes.newest(incarnation.ID)
+	if known, exists := s.states[incarnation.ID]; exists {
 		newest = max(newest, known.StartMillis)
 	}
-	return life.StartMillis > 0 && newest > life.StartMillis
+	return incarnation.StartMillis > 0 && newest > incarnation.StartMillis
 }
 
-// RemoveIncarnation takes a backend out if its present life is the one named.
-func (s *Set) RemoveIncarnation(life Incarnation) {
+// RemoveIncarnation removes a backend if incarnation is its current one.
+func (s *Set) RemoveIncarnation(incarnation Incarnation) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.current(life) != nil {
-		s.remove(life.ID)
+	if s.current(incarnation) != nil {
+		s.remove(incarnation.ID)
 	}
 }
 
-// Remove takes a backend out. Requests in flight there go on.
+// Remove removes a backend. Requests in flight continue.
 func (s *Set) Remove(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.remove(id)
 }
 
-// Retain removes all backends but those with the ids.
+// Retain removes all backends whose ids aren't in ids.
 func (s *Set) Retain(ids map[string]bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -267,24 +267,23 @@
 		return
 	}
 	delete(s.states, id)
-	s.births.note(known.Incarnation())
-	s.takeOut(known)
+	s.startTimes.record(known.Incarnation())
+	s.removeFromService(known)
 }
 
-// place is where a backend stands in its service's list, which is in the order
-// of ids. One backend more or less moves the list's end and sorts nothing:
-// thousands are listed when a daemon starts.
-func (s *Set) place(known *state) int {
+// serviceIndex returns a backend's index in its service's list, which is sorted by id.
+// Binary search keeps the listing of thousands of backends cheap.
+func (s *Set) serviceIndex(known *state) int {
 	group := s.byService[known.Service]
 	return sort.Search(len(group), func(index int) bool { return group[index].ID >= known.ID })
 }
 
-func (s *Set) putIn(known *state) {
-	s.byService[known.Service] = slices.Insert(s.byService[known.Service], s.place(known), known)
+func (s *Set) addToService(known *state) {
+	s.byService[known.Service] = slices.Insert(s.byService[known.Service], s.serviceIndex(known), known)
 }
 
-func (s *Set) takeOut(known *state) {
-	at := s.place(known)
+func (s *Set) removeFromService(known *state) {
+	at := s.serviceIndex(known)
 	s.byService[known.Service] = slices.Delete(s.byService[known.Service], at, at+1)
 }
 
@@ -299,7 +298,7 @@
 	return known.Instance, true
 }
 
-// Count returns how many backends a service has, or all services together when it is
+// Count returns the number of backends of a service, or of all services if service is
 // empty.
 func (s *Set) Count(service string) int {
 	s.mutex.Lock()
@@ -310,7 +309,7 @@
 	return len(s.byService[service])
 }
 
-// Instances returns the backends of a service, or of all when it is empty.
+// Instances returns the backends of a service, or of all services if service is empty.
 func (s *Set) Instances(service string) []Instance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -323,8 +322,8 @@
 	return found
 }
 
-// SetConnected sets the function that returns the lives of backends to which an idle
-// connection is open. It must be called before the set is used.
+// SetConnected sets the function that returns the incarnations with an open idle
+// connection. It must be called before the set is used.
 func (s *Set) SetConnected(connected func() map[Incarnation]bool) { s.connected = connected }
 
 // Candidates returns a snapshot of a service's backends for routing.
@@ -346,7 +345,7 @@
 func (k *state) candidate(prompt []routing.PromptPart, now time.Time) routing.Candidate {
 	online, batch, pending := k.load()
 	waiting := 0
-	if now.Sub(k.reportedAt) < reportAge {
+	if now.Sub(k.reportedAt) < maxReportAge {
 		waiting = k.report.Waiting
 	}
 	return routing.Candidate{
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -29,14 +29,14 @@
 	return found[0]
 }
 
-// TestLeaseCountsFromDispatchToEnd, once, however often it is released.
-func TestLeaseCountsFromDispatchToEnd(t *testing.T) {
+// A lease counts its request until the first release, and further releases have no effect.
+func TestLeaseCountsUntilRelease(t *testing.T) {
 	set := newSet()
 	lease, found := set.Acquire("a", backend.Online, prompt)
 	require.True(t, found)
 	require.Equal(t, 1, candidate(t, set).Online)
 	require.Equal(t, 5100, candidate(t, set).PendingTokens)
-	require.Equal(t, 100, candidate(t, set).UncachedTokens, "the shared part is being read")
+	require.Equal(t, 100, candidate(t, set).UncachedTokens, "the shared part counts as cached")
 	lease.Started()
 	require.Zero(t, candidate(t, set).PendingTokens)
 	lease.Release()
@@ -44,8 +44,8 @@
 	require.Zero(t, candidate(t, set).Online)
 }
 
-// TestOtherDaemonsLoadsCount until they are replaced or forgotten.
-func TestOtherDaemonsLoadsCount(t *testing.T) {
+// Other daemons' loads count until they are replaced or the daemon is removed.
+func TestPeerLoadsAreCounted(t *testing.T) {
 	set := newSet()
 	set.SetPeerLoads("d1", map[string]backend.PeerLoad{"a": {Online: 2, Batch: 1, PendingTokens: 7}, "unknown": {Online: 9}}, 3)
 	set.SetPeerLoads("d2", map[string]backend.PeerLoad{"a": {Online: 1}}, 4)
@@ -56,17 +56,17 @@
 	set.SetPeerLoads("d1", nil, 0)
 	require.Equal(t, 4, set.PeerWaiting())
 	require.Equal(t, 1, candidate(t, set).Online)
-	require.Empty(t, set.OwnLoads(), "others' loads are not told on")
+	require.Empty(t, set.OwnLoads(), "own loads must not include other daemons' loads")
 }
 
-// TestReadsAreToldOnce, large parts only.
-func TestReadsAreToldOnce(t *testing.T) {
+// Reads of large parts are returned once, and reported reads expire.
+func TestPromptReadsArePublishedOnce(t *testing.T) {
 	set, other := newSet(), newSet()
 	_, _ = set.Acquire("a", backend.Online, prompt)
 	select {
 	case <-set.PublishSignal():
 	default:
-		t.Fatal("a large prompt is urgent")
+		t.Fatal("a large prompt must be published at once")
 	}
 	reads := set.TakePromptReads()
 	require.Equal(t, []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "a"}, Part: "shared"}}, reads)
@@ -75,10 +75,10 @@
 	other.RecordPeerPromptReads(reads, time.Now())
 	require.Equal(t, 100, candidate(t, other).UncachedTokens)
 	other.RecordPeerPromptReads(reads, time.Now().Add(-time.Minute))
-	require.Equal(t, 5100, candidate(t, other).UncachedTokens, "long unused")
+	require.Equal(t, 5100, candidate(t, other).UncachedTokens, "the read is older than the prompt lifetime")
 }
 
-// TestFailuresEject for a while, longer each time.
+// Each ejection lasts longer than the one before.
 func TestFailuresEject(t *testing.T) {
 	set := newSet()
 	now := time.Now()
@@ -88,13 +88,13 @@
 	later := now.Add(1100 * time.Millisecond)
 	require.False(t, set.Candidates("s", nil, later)[0].Ejected)
 	set.Unreachable(backend.Incarnation{ID: "a"}, later)
-	require.True(t, set.Candidates("s", nil, later.Add(1900*time.Millisecond))[0].Ejected, "longer the second time")
+	require.True(t, set.Candidates("s", nil, later.Add(1900*time.Millisecond))[0].Ejected, "the second ejection must last longer")
 	require.False(t, set.Candidates("s", nil, later.Add(time.Minute))[0].Ejected)
 }
 
-// TestFailuresSeenByAllDaemonsEject, although each saw one only and other
-// requests succeeded; rare ones do not.
-func TestFailuresSeenByAllDaemonsEject(t *testing.T) {
+// Failures seen by several daemons eject a backend that also has successes. Rare
+// failures don't.
+func TestPeerFailuresEject(t *testing.T) {
 	sets := []*backend.Set{newSet(), newSet(), newSet(), newSet()}
 	now := time.Now()
 	for _, each := range sets[1:] {
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestRetainAndRemove drop what is not listed.
+// Removed backends are not listed and can't be acquired.
 func TestRetainAndRemove(t *testing.T) {
 	set := newSet()
 	set.Put(backend.Instance{ID: "b", Service: "s", Slots: 4})
@@ -124,9 +124,8 @@
 	require.False(t, found)
 }
 
-// TestListsFollowEveryChange: whatever comes, moves to another service and
-// goes, each service lists what belongs to it, in the order of ids.
-func TestListsFollowEveryChange(t *testing.T) {
+// After any sequence of changes each service lists its own backends, sorted by id.
+func TestServiceListsMatchEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := backend.NewSet()
 		expected := map[string]string{}
@@ -162,7 +161,7 @@
 	})
 }
 
-// BenchmarkListing is a daemon's start before many backends.
+// BenchmarkListing adds 3000 backends to an empty set, as at the start of a daemon.
 func BenchmarkListing(b *testing.B) {
 	for b.Loop() {
 		set := backend.NewSet()
--- a/internal/backend/health.go
+++ b/internal/backend/health.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// failuresToEject is how many failures in a row, seen by one daemon, take a
-	// backend out.
+	// failuresToEject is the number of consecutive failures seen by this daemon after
+	// which a backend is ejected.
 	failuresToEject = 2
-	// scoreToEject is the score of failures seen by all daemons that takes a
-	// backend out. A few lost answers in a hundred stay far below it.
+	// scoreToEject is the failure score of all daemons at which a backend is ejected.
+	// An error rate of a few per cent stays below it.
 	scoreToEject = 3
-	// scoreHalfLife is the time after which a failure counts half.
+	// scoreHalfLife is the half-life of the failure score.
 	scoreHalfLife = 2 * time.Second
-	ejectFor      = time.Second
-	ejectCeiling  = 8 * time.Second
+	// The first ejection lasts minEjection. Each further one is twice as long, up to
+	// maxEjection.
+	minEjection = time.Second
+	maxEjection = 8 * time.Second
 )
 
-// addFailures raises the score and ejects the backend if it is too high.
+// addFailures raises the failure score and ejects the backend if the score is too high.
 func (k *state) addFailures(count int, now time.Time) {
 	elapsed := now.Sub(k.scoredAt)
 	k.failureScore *= math.Exp2(-elapsed.Seconds() / scoreHalfLife.Seconds())
@@ -29,43 +31,42 @@
 	}
 }
 
-// eject takes the backend out for a while, each time for longer. An ejected
-// backend is used only when all are.
+// eject excludes the backend for a while, unless it is ejected already. Ejected backends
+// are used only if all are ejected.
 func (k *state) eject(now time.Time) {
 	if now.Before(k.ejectedUntil) {
 		return
 	}
-	k.ejectedFor = min(max(k.ejectedFor*2, ejectFor), ejectCeiling)
+	k.ejectedFor = min(max(k.ejectedFor*2, minEjection), maxEjection)
 	k.ejectedUntil = now.Add(k.ejectedFor)
 	k.failureScore = 0
 }
 
-// Succeeded records that the backend worked. The time of its next ejection
-// starts anew once it has worked for a while.
-func (s *Set) Succeeded(life Incarnation, now time.Time) {
+// Succeeded records a success. It resets the ejection time if the last ejection ended
+// more than maxEjection ago.
+func (s *Set) Succeeded(incarnation Incarnation, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.current(life)
+	known := s.current(incarnation)
 	if known == nil {
 		return
 	}
 	known.failures = 0
-	if now.Sub(known.ejectedUntil) > ejectCeiling {
+	if now.Sub(known.ejectedUntil) > maxEjection {
 		known.ejectedFor = 0
 	}
 }
 
-// Failed records that the backend failed a request, and reports whether it is
-// ejected now.
-func (s *Set) Failed(life Incarnation, now time.Time) bool {
+// Failed records a failed request and reports whether the backend is now ejected.
+func (s *Set) Failed(incarnation Incarnation, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.current(life)
+	known := s.current(incarnation)
 	if known == nil {
 		return false
 	}
 	known.failures++
-	s.unsentFailures[life]++
+	s.unsentFailures[incarnation]++
 	if known.failures >= failuresToEject {
 		known.eject(now)
 	}
@@ -73,16 +74,16 @@
 	return now.Before(known.ejectedUntil)
 }
 
-// Unreachable ejects a backend at once: a connection to it could not be made.
-func (s *Set) Unreachable(life Incarnation, now time.Time) {
+// Unreachable ejects a backend to which no connection could be made.
+func (s *Set) Unreachable(incarnation Incarnation, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known := s.current(life); known != nil {
+	if known := s.current(incarnation); known != nil {
 		known.eject(now)
 	}
 }
 
-// TakeUnsentFailures returns the failures by life since the last call.
+// TakeUnsentFailures returns the failures by incarnation since the last call.
 func (s *Set) TakeUnsentFailures() map[Incarnation]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,13 +92,13 @@
 	return taken
 }
 
-// RecordPeerFailures records failures that another daemon saw. Those of another life than
-// the present one tell nothing of it.
+// RecordPeerFailures records failures seen by another daemon. Those of incarnations that
+// aren't current are ignored.
 func (s *Set) RecordPeerFailures(failures map[Incarnation]int, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for life, count := range failures {
-		if known := s.current(life); known != nil {
+	for incarnation, count := range failures {
+		if known := s.current(incarnation); known != nil {
 			known.addFailures(count, now)
 		}
 	}
--- a/internal/backend/lease.go
+++ b/internal/backend/lease.go
@@ -7,8 +7,8 @@
 	"topazpulley/internal/routing"
 )
 
-// Lease counts one request at a backend from dispatch to end. Its methods are
-// safe for concurrent use.
+// Lease counts one request at a backend from dispatch until Release. It is safe for
+// concurrent use.
 type Lease struct {
 	set      *Set
 	state    *state
@@ -19,8 +19,8 @@
 	released bool
 }
 
-// Acquire counts a request at the present life of a backend. It reports false when
-// the backend is gone meanwhile, or gets no new work now.
+// Acquire counts a request at the current incarnation of a backend. It returns false if
+// the backend was removed or must get no new work.
 func (s *Set) Acquire(id string, class Class, prompt []routing.PromptPart) (*Lease, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -31,21 +31,20 @@
 	return s.acquireOpen(known, class, prompt)
 }
 
-// AcquireIncarnation is Acquire for a request that is bound to one life of a backend, by a
-// place that was set aside there. It reports false when that life has ended,
-// or gets no new work now.
-func (s *Set) AcquireIncarnation(life Incarnation, class Class, prompt []routing.PromptPart) (*Lease, bool) {
+// AcquireIncarnation is Acquire for a request with a reservation at one incarnation. It
+// returns false if that incarnation isn't current or must get no new work.
+func (s *Set) AcquireIncarnation(incarnation Incarnation, class Class, prompt []routing.PromptPart) (*Lease, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.current(life)
+	known := s.current(incarnation)
 	if known == nil {
 		return nil, false
 	}
 	return s.acquireOpen(known, class, prompt)
 }
 
-// acquireOpen counts a request, unless its backend gets no new work since it was chosen.
-// mutex must be held.
+// acquireOpen counts a request unless the backend was closed since it was selected. mutex
+// must be held.
 func (s *Set) acquireOpen(known *state, class Class, prompt []routing.PromptPart) (*Lease, bool) {
 	now := time.Now()
 	if s.isClosed(known, now) {
@@ -58,20 +57,20 @@
 // acquire counts a request. mutex must be held.
 func (s *Set) acquire(known *state, class Class, prompt []routing.PromptPart, now time.Time) *Lease {
 	pending := known.prompts.uncached(prompt, now)
-	s.notePrompt(known, prompt, now)
+	s.recordPrompt(known, prompt, now)
 	known.pendingTokens += pending
 	known.count(class, 1)
-	isCrowded := class == Online && known.isOverloaded()
-	if pending >= urgentTokens || isCrowded {
+	isOverloaded := class == Online && known.isOverloaded()
+	if pending >= largePromptTokens || isOverloaded {
 		signal(s.publishSignal)
 	}
-	if isCrowded && known.batch > 0 {
+	if isOverloaded && known.batch > 0 {
 		signal(s.overloaded)
 	}
 	return &Lease{set: s, state: known, class: class, pending: pending}
 }
 
-// signal wakes a receiver, once for all that happens until it looks.
+// signal wakes a receiver. Signals sent before it receives are merged into one.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -79,13 +78,13 @@
 	}
 }
 
-// isOverloaded reports whether online requests wait for items at the backend.
+// isOverloaded reports whether online requests wait for batch items at the backend.
 func (k *state) isOverloaded() bool {
 	online, batch, _ := k.load()
 	return batch > 0 && online > 0 && online+batch > k.Slots
 }
 
-// Overloaded is signalled when online requests may wait for this daemon's items.
+// Overloaded receives when online requests may wait for this daemon's batch items.
 func (s *Set) Overloaded() <-chan struct{} { return s.overloaded }
 
 func (k *state) count(class Class, change int) {
@@ -103,7 +102,7 @@
 	return l.state.Instance
 }
 
-// Started tells that the request's first output came: its prompt is read.
+// Started records the first output: the prompt has been read.
 func (l *Lease) Started() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -116,17 +115,17 @@
 	l.state.pendingTokens -= l.pending
 }
 
-// hasStarted reports whether output came: the request had a place. One that the backend
-// had no place for, or that it did not answer, frees none.
+// hasStarted reports whether output was received, so the request had a slot. A request
+// that the backend refused or didn't answer frees no slot.
 func (l *Lease) hasStarted() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.started
 }
 
-// Release ends the count.
+// Release stops counting the request. Further calls do nothing.
 func (l *Lease) Release() {
-	hadPlace := l.hasStarted()
+	hadSlot := l.hasStarted()
 	l.Started()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,30 +135,30 @@
 	l.released = true
 	l.set.mutex.Lock()
 	defer l.set.mutex.Unlock()
-	wasCrowded := l.state.isOverloaded()
+	wasOverloaded := l.state.isOverloaded()
 	l.state.count(l.class, -1)
-	if hadPlace {
+	if hadSlot {
 		l.set.wait(l.state.Service).freed.Add(time.Now())
 	}
-	if l.class == Batch && wasCrowded {
-		// Others should not give way a second time.
+	if l.class == Batch && wasOverloaded {
+		// Publish at once, so that no other daemon preempts a second item.
 		signal(l.set.publishSignal)
 	}
 }
 
-// RecordReport records the load that a life of a backend told.
-func (s *Set) RecordReport(life Incarnation, report Report, now time.Time) {
+// RecordReport records the load reported by an incarnation of a backend.
+func (s *Set) RecordReport(incarnation Incarnation, report Report, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.current(life)
+	known := s.current(incarnation)
 	if known == nil {
 		return
 	}
 	known.report, known.reportedAt = report, now
 }
 
-// OwnLoads returns this daemon's work in flight by backend, without those
-// that have none.
+// OwnLoads returns this daemon's work in flight by backend. Backends without work are
+// left out.
 func (s *Set) OwnLoads() map[string]PeerLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -173,10 +172,10 @@
 	return loads
 }
 
-// SetPeerLoads replaces what another daemon has in flight and how many batch
-// items wait there. A nil map forgets the daemon. Work at another life of a backend
-// than the present one does not count: it ended with that life, or the daemon that
-// tells it knows of a later one, and this one will too.
+// SetPeerLoads replaces another daemon's work in flight and the number of its batch items
+// that wait for a backend. A nil map removes the daemon. Work at an incarnation that isn't
+// current is ignored: either that incarnation has ended, or discovery will list it here
+// soon.
 func (s *Set) SetPeerLoads(peer string, loads map[string]PeerLoad, waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -186,8 +185,8 @@
 		delete(s.peerWaiting, peer)
 	}
 	for id, known := range s.states {
-		load, tells := loads[id]
-		if !tells || load.StartMillis != known.StartMillis {
+		load, isReported := loads[id]
+		if !isReported || load.StartMillis != known.StartMillis {
 			delete(known.peers, peer)
 			continue
 		}
@@ -198,29 +197,28 @@
 	}
 }
 
-// HasPeerReports reports whether any other daemon ever told its work.
+// HasPeerReports reports whether any other daemon ever reported its load.
 func (s *Set) HasPeerReports() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.hasPeerReports
 }
 
-// SetOwnWaiting records how many batch items of this daemon wait for a backend.
+// SetOwnWaiting sets the number of this daemon's batch items that wait for a backend.
 func (s *Set) SetOwnWaiting(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.waiting = count
 }
 
-// OwnWaiting returns how many batch items of this daemon wait for a backend.
+// OwnWaiting returns the number of this daemon's batch items that wait for a backend.
 func (s *Set) OwnWaiting() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.waiting
 }
 
-// PeerWaiting returns how many batch items of other daemons wait for a
-// backend.
+// PeerWaiting returns the number of other daemons' batch items that wait for a backend.
 func (s *Set) PeerWaiting() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -231,14 +229,14 @@
 	return max(total, 0)
 }
 
-// SetPropagation records how long other daemons take to learn of a change.
+// SetPropagation sets the time until other daemons learn of a change here.
 func (s *Set) SetPropagation(time time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.propagation = time
 }
 
-// Propagation returns how long other daemons take to learn of a change.
+// Propagation returns the time until other daemons learn of a change here.
 func (s *Set) Propagation() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/backend/crowded_test.go
+++ b/internal/backend/overload_test.go
@@ -26,15 +26,15 @@
 	return set
 }
 
-// TestOwnerHearsAtOnceOfWaitingOnlineRequests: of its own daemon's, and of
-// other daemons'; not while there is a free slot.
-func TestOwnerHearsAtOnceOfWaitingOnlineRequests(t *testing.T) {
+// An overload is signalled whether the online requests come from this or another daemon,
+// and not while there is a free slot.
+func TestOverloadSignal(t *testing.T) {
 	set := setWithItem(t)
 	_, _ = set.Acquire("one", backend.Online, nil)
 	require.False(t, isSignalled(set.Overloaded()), "every request has a slot")
 	_, _ = set.Acquire("one", backend.Online, nil)
 	require.True(t, isSignalled(set.Overloaded()))
-	require.True(t, isSignalled(set.PublishSignal()), "other owners are told at once")
+	require.True(t, isSignalled(set.PublishSignal()), "other daemons must be notified at once")
 
 	set = setWithItem(t)
 	set.SetPeerLoads("other", map[string]backend.PeerLoad{"one": {Online: 1}}, 0)
@@ -43,8 +43,9 @@
 	require.True(t, isSignalled(set.Overloaded()))
 }
 
-// TestItemThatGaveWayIsToldAtOnce, so that no other owner gives way as well.
-func TestItemThatGaveWayIsToldAtOnce(t *testing.T) {
+// The release of a preempted item is published at once, so that no other owner preempts a
+// second one.
+func TestPreemptedItemIsPublished(t *testing.T) {
 	set := backend.NewSet()
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 1})
 	item, _ := set.Acquire("one", backend.Batch, nil)
@@ -55,8 +56,8 @@
 	require.True(t, isSignalled(set.Overloaded()))
 }
 
-// TestItemsAloneCrowdNobodyOut.
-func TestItemsAloneCrowdNobodyOut(t *testing.T) {
+// Batch items beyond the slots are no overload without online requests.
+func TestBatchAloneIsNoOverload(t *testing.T) {
 	set := setWithItem(t)
 	for range 3 {
 		_, _ = set.Acquire("one", backend.Batch, nil)
--- a/internal/backend/preempt.go
+++ b/internal/backend/preempt.go
@@ -1,13 +1,11 @@
 package backend
 
-// preemptQueue bounds the preemptions that wait to be sent or answered. One that
-// does not fit is left out: the item then gives way when its owner hears of the
-// crowded backend.
-const preemptQueue = 64
+// maxQueuedPreemptions limits the preemptions that wait to be sent or carried out. Further
+// ones are dropped: the item's owner then preempts it when it observes the overload.
+const maxQueuedPreemptions = 64
 
-// Preempt asks for one batch item to be taken from a backend, because an
-// online request waits there. If an item of this daemon runs there, the daemon
-// gives it up itself.
+// Preempt requests that one batch item at a backend be preempted, because an online request
+// waits there. If this daemon has an item there, its own batch work preempts it.
 func (s *Set) Preempt(id string) {
 	_, isKnown := s.Get(id)
 	switch {
@@ -19,15 +17,13 @@
 	}
 }
 
-// Preemptions returns the channel of the backends at which items of other
-// daemons should give way.
+// Preemptions receives the ids of backends at which another daemon should preempt an item.
 func (s *Set) Preemptions() <-chan string { return s.preemptions }
 
-// PreemptOwn asks this daemon's batch work to take one item back from a backend.
+// PreemptOwn requests that this daemon's batch work preempt one of its items at a backend.
 func (s *Set) PreemptOwn(id string) { offer(s.ownPreemptions, id) }
 
-// OwnPreemptions returns the channel of the backends from which this daemon should
-// take an item back.
+// OwnPreemptions receives the ids of backends at which this daemon should preempt an item.
 func (s *Set) OwnPreemptions() <-chan string { return s.ownPreemptions }
 
 // HasBatch reports whether an item of this daemon runs at a backend.
@@ -38,8 +34,7 @@
 	return exists && known.batch > 0
 }
 
-// PeerBatch returns how many batch items others have at a backend, by who
-// told.
+// PeerBatch returns the number of other daemons' batch items at a backend, by daemon.
 func (s *Set) PeerBatch(id string) map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/backend/preempt_test.go
+++ b/internal/backend/preempt_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPreemptionGoesToTheOwnerOfAnItem: to this daemon if it has an item there,
-// else to others, and nowhere for a backend that is gone.
-func TestPreemptionGoesToTheOwnerOfAnItem(t *testing.T) {
+// A preemption goes to this daemon if it has an item at the backend, else to the other
+// daemons. None is queued for a removed backend.
+func TestPreemptionGoesToItemOwner(t *testing.T) {
 	set := NewSet()
 	set.Put(Instance{ID: "one", Service: "s", Slots: 1})
 	set.Preempt("gone")
@@ -25,12 +25,12 @@
 	require.Equal(t, map[string]int{"b": 2}, set.PeerBatch("one"))
 }
 
-// TestPreemptionsNeverBlock however many wait.
-func TestPreemptionsNeverBlock(t *testing.T) {
+// Preempt doesn't block when its queue is full.
+func TestPreemptDoesNotBlock(t *testing.T) {
 	set := NewSet()
 	set.Put(Instance{ID: "one", Service: "s", Slots: 1})
-	for range 3 * preemptQueue {
+	for range 3 * maxQueuedPreemptions {
 		set.Preempt("one")
 	}
-	require.Len(t, set.Preemptions(), preemptQueue)
+	require.Len(t, set.Preemptions(), maxQueuedPreemptions)
 }
--- a/internal/backend/prompts.go
+++ b/internal/backend/prompts.go
@@ -8,50 +8,48 @@
 )
 
 const (
-	// promptAge is how long a part is believed to stay in a backend's memory
-	// without being used; the work in between then takes its place.
-	promptAge = 20 * time.Second
-	// sharedTokens is the size from which on daemons tell each other which
-	// backend has read a part.
-	sharedTokens = 1000
-	// urgentTokens is the size of a prompt that holds a backend up so long
-	// that the other daemons should know at once.
-	urgentTokens = 2000
-	// readQueue bounds the reads that wait to be told.
-	readQueue = 64
+	// promptLifetime is how long an unused prompt part is assumed to stay in a backend's
+	// cache.
+	promptLifetime = 20 * time.Second
+	// largePartTokens is the minimum size of the parts whose reads are sent to other
+	// daemons.
+	largePartTokens = 1000
+	// largePromptTokens is the number of uncached tokens from which a request's load is
+	// published at once: the backend is busy for long.
+	largePromptTokens = 2000
+	// maxUnsentReads limits the reads that wait to be sent.
+	maxUnsentReads = 64
 )
 
-// PromptRead tells that a backend reads a part of a prompt.
+// PromptRead records that a backend read a part of a prompt.
 type PromptRead struct {
 	Incarnation Incarnation
 	Part        string
 }
 
-// promptCache remembers the prompt parts that a backend read lately. It is a
-// guess: what a backend keeps depends on all its work.
+// promptCache holds the prompt parts that a backend read recently, least recently used
+// last. It estimates the backend's own cache, whose contents depend on all its work.
 type promptCache struct {
-	limit  int
-	order  *list.List
-	places map[string]*list.Element
+	limit    int
+	order    *list.List
+	elements map[string]*list.Element
 }
 
-// cachedPart is a remembered part.
 type cachedPart struct {
 	id     string
 	usedAt time.Time
 }
 
 func newPromptCache(limit int) *promptCache {
-	return &promptCache{limit: limit, order: list.New(), places: map[string]*list.Element{}}
+	return &promptCache{limit: limit, order: list.New(), elements: map[string]*list.Element{}}
 }
 
 func (c *promptCache) has(id string, now time.Time) bool {
-	place, known := c.places[id]
-	return known && now.Sub(place.Value.(cachedPart).usedAt) < promptAge
+	element, known := c.elements[id]
+	return known && now.Sub(element.Value.(cachedPart).usedAt) < promptLifetime
 }
 
-// uncached returns the tokens of the prompt behind its longest remembered
-// beginning.
+// uncached returns the number of tokens after the longest cached prefix of the prompt.
 func (c *promptCache) uncached(prompt []routing.PromptPart, now time.Time) int {
 	tokens := 0
 	isCached := true
@@ -65,29 +63,29 @@
 }
 
 func (c *promptCache) touch(id string, now time.Time) {
-	if place, known := c.places[id]; known {
-		place.Value = cachedPart{id: id, usedAt: now}
-		c.order.MoveToFront(place)
+	if element, known := c.elements[id]; known {
+		element.Value = cachedPart{id: id, usedAt: now}
+		c.order.MoveToFront(element)
 		return
 	}
-	c.places[id] = c.order.PushFront(cachedPart{id: id, usedAt: now})
+	c.elements[id] = c.order.PushFront(cachedPart{id: id, usedAt: now})
 	if c.order.Len() <= c.limit {
 		return
 	}
 	oldest := c.order.Back()
 	c.order.Remove(oldest)
-	delete(c.places, oldest.Value.(cachedPart).id)
+	delete(c.elements, oldest.Value.(cachedPart).id)
 }
 
-// notePrompt remembers the shared parts of a prompt that is sent to a backend,
-// and queues what the other daemons should know. The last part belongs to
-// the request alone and is left out. mutex must be held.
-func (s *Set) notePrompt(known *state, prompt []routing.PromptPart, now time.Time) {
+// recordPrompt records the shared parts of a prompt sent to a backend and queues the large
+// ones for other daemons. The last part is specific to the request and is left out. mutex
+// must be held.
+func (s *Set) recordPrompt(known *state, prompt []routing.PromptPart, now time.Time) {
 	for index := 0; index+1 < len(prompt); index++ {
 		part := prompt[index]
 		known.prompts.touch(part.ID, now)
-		if part.Tokens >= sharedTokens && len(s.reads) < readQueue {
-			s.reads = append(s.reads, PromptRead{Incarnation: known.Incarnation(), Part: part.ID})
+		if part.Tokens >= largePartTokens && len(s.promptReads) < maxUnsentReads {
+			s.promptReads = append(s.promptReads, PromptRead{Incarnation: known.Incarnation(), Part: part.ID})
 		}
 	}
 }
@@ -96,12 +94,12 @@
 func (s *Set) TakePromptReads() []PromptRead {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	taken := s.reads
-	s.reads = nil
+	taken := s.promptReads
+	s.promptReads = nil
 	return taken
 }
 
-// RecordPeerPromptReads records what another daemon told.
+// RecordPeerPromptReads records reads reported by another daemon.
 func (s *Set) RecordPeerPromptReads(reads []PromptRead, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -112,5 +110,6 @@
 	}
 }
 
-// PublishSignal returns a channel that receives when a large prompt was sent.
+// PublishSignal receives when the load should be published at once: a large prompt was
+// sent, or the overload of a backend changed.
 func (s *Set) PublishSignal() <-chan struct{} { return s.publishSignal }
--- a/internal/backend/serviceload.go
+++ b/internal/backend/serviceload.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// ServiceLoad is the work of all daemons in the slots of a service's backends that take
-// work.
+// ServiceLoad is the work of all daemons in the slots of a service's usable backends.
 type ServiceLoad struct {
 	Backends int
 	Slots    int
@@ -11,14 +10,14 @@
 	Batch    int
 }
 
-// ServiceLoad sums the load of a service, without backends that leave, whose zone is
-// evacuated or that failed lately. What waits at a backend beyond its slots takes no other's room and is left out.
+// ServiceLoad sums the load of a service's backends. Backends that are draining, evacuated
+// or ejected are left out, and so are requests beyond a backend's slots.
 func (s *Set) ServiceLoad(service string, now time.Time) ServiceLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	total := ServiceLoad{}
 	for _, known := range s.byService[service] {
-		if known.Draining || s.closing.evacuated[known.Zone] || now.Before(known.ejectedUntil) {
+		if known.Draining || s.admission.evacuated[known.Zone] || now.Before(known.ejectedUntil) {
 			continue
 		}
 		online, batch, _ := known.load()
@@ -31,7 +30,7 @@
 	return total
 }
 
-// OwnBatch is how many batch items of this daemon run at a service's backends.
+// OwnBatch returns the number of this daemon's batch items that run at a service's backends.
 func (s *Set) OwnBatch(service string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/backend/serviceload_test.go
+++ b/internal/backend/serviceload_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServiceLoadCountsSlotsThatTakeWork: what waits at one backend takes no other's room,
-// and backends that leave or failed have none.
-func TestServiceLoadCountsSlotsThatTakeWork(t *testing.T) {
+// Requests beyond a backend's slots don't count, and neither do draining or ejected backends.
+func TestServiceLoadCountsUsableSlots(t *testing.T) {
 	set, now := NewSet(), time.Now()
 	set.Put(Instance{ID: "a", Service: "s", Slots: 4})
 	set.Put(Instance{ID: "b", Service: "s", Slots: 4})
--- a/internal/backend/waiting.go
+++ b/internal/backend/waiting.go
@@ -6,23 +6,22 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// serviceWait is what waits for places of one service, here and elsewhere. Set.mutex
-// guards it.
+// serviceWait holds this daemon's queued online requests of one service. Set.mutex guards it.
 type serviceWait struct {
-	// onTimeUntil is, by online request that waits here, until when it can be in time.
+	// onTimeUntil is, by queued request, the latest time at which it is still on time.
 	onTimeUntil map[*WaitingRequest]time.Time
-	// freed counts the places that requests and items of this daemon freed.
+	// freed counts the slots freed by requests and items of this daemon.
 	freed           slotqueue.Rate
 	firstOutputTime slotqueue.FirstOutputTime
 }
 
-// WaitingRequest is one online request that waits for a place.
+// WaitingRequest is an online request that waits for a slot.
 type WaitingRequest struct {
 	set     *Set
 	service string
 }
 
-// wait returns what waits for a service.
+// wait returns the queue of a service and creates it if necessary. mutex must be held.
 func (s *Set) wait(service string) *serviceWait {
 	known, exists := s.waits[service]
 	if !exists {
@@ -32,24 +31,24 @@
 	return known
 }
 
-// TrackWaiting counts an online request that waits for a place of a service. It can be in time
-// until a moment.
-func (s *Set) TrackWaiting(service string, inTimeUntil time.Time) *WaitingRequest {
+// TrackWaiting counts an online request that waits for a slot of a service, until Done. The
+// request is on time until onTimeUntil, then overdue.
+func (s *Set) TrackWaiting(service string, onTimeUntil time.Time) *WaitingRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made := &WaitingRequest{set: s, service: service}
-	s.wait(service).onTimeUntil[made] = inTimeUntil
-	return made
+	request := &WaitingRequest{set: s, service: service}
+	s.wait(service).onTimeUntil[request] = onTimeUntil
+	return request
 }
 
-// Done ends the count.
+// Done stops counting the request.
 func (w *WaitingRequest) Done() {
 	w.set.mutex.Lock()
 	defer w.set.mutex.Unlock()
 	delete(w.set.wait(w.service).onTimeUntil, w)
 }
 
-// stats are this daemon's own.
+// stats returns this daemon's queue stats. mutex must be held.
 func (w *serviceWait) stats(now time.Time) slotqueue.Stats {
 	found := slotqueue.Stats{FreedSlots: w.freed.Count(now)}
 	for _, until := range w.onTimeUntil {
@@ -62,8 +61,8 @@
 	return found
 }
 
-// OwnQueueStats returns by service what waits at this daemon, without services for which
-// nothing waits and no place came free.
+// OwnQueueStats returns this daemon's queue stats by service. Services without queued
+// requests and freed slots are left out.
 func (s *Set) OwnQueueStats(now time.Time) map[string]slotqueue.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,39 +75,39 @@
 	return found
 }
 
-// FleetQueueStats returns what waits for a service at all daemons: here now, elsewhere as it
-// was last told.
+// FleetQueueStats returns a service's queue stats summed over all daemons: current ones of
+// this daemon and the last reported ones of the others.
 func (s *Set) FleetQueueStats(service string, now time.Time) slotqueue.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	total := s.wait(service).stats(now)
-	for _, told := range s.peerQueueStats {
-		total = total.Plus(told[service])
+	for _, stats := range s.peerQueueStats {
+		total = total.Plus(stats[service])
 	}
 	return total
 }
 
-// SetPeerQueueStats replaces what waits at another daemon, by service. A nil map forgets the
+// SetPeerQueueStats replaces another daemon's queue stats by service. A nil map removes the
 // daemon.
-func (s *Set) SetPeerQueueStats(peer string, told map[string]slotqueue.Stats) {
+func (s *Set) SetPeerQueueStats(peer string, stats map[string]slotqueue.Stats) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if told == nil {
+	if stats == nil {
 		delete(s.peerQueueStats, peer)
 		return
 	}
-	s.peerQueueStats[peer] = told
+	s.peerQueueStats[peer] = stats
 }
 
-// ObserveFirstOutput learns how long an answer of a service took from its place to the first
-// output.
+// ObserveFirstOutput adds the time of one request of a service from slot to first output.
 func (s *Set) ObserveFirstOutput(service string, taken time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.wait(service).firstOutputTime.Add(taken)
 }
 
-// FirstOutputTime returns the time to be kept for an answer of a service within an objective.
+// FirstOutputTime returns the first output time to reserve for a request of a service within
+// an objective.
 func (s *Set) FirstOutputTime(service string, objective time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/backend/waiting_test.go
+++ b/internal/backend/waiting_test.go
@@ -10,10 +10,9 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// TestSumsOfWhatWaits: requests here count as in time until their moment, then as late,
-// until they leave; places count where they came free; what others told is added, and
-// forgotten with them.
-func TestSumsOfWhatWaits(t *testing.T) {
+// Queued requests count as on time, then as overdue, until Done. Freed slots count once, and
+// only for requests that had output. Peer stats are added until the daemon is removed.
+func TestQueueStats(t *testing.T) {
 	set, now := backend.NewSet(), time.Now()
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 4})
 	require.Empty(t, set.OwnQueueStats(now))
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -14,21 +14,21 @@
 mutant odd_entry_keeps_its_back_end internal/frontend/consumers.go \
 	'	c.backends.Remove(row.Key)
 ' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
-mutant life_kept_over_a_start internal/backend/life.go \
-	'case told.StartMillis != known.StartMillis:' 'case false:' internal/backend TestNewLifeStartsWithNothing
-mutant late_entry_wins internal/backend/life.go \
-	'case told.StartMillis < newest:' 'case false:' internal/backend 'TestLateWordsOfALifeThatHasEnded|TestWordsOfOldAndNewLivesInAnyOrder'
+mutant life_kept_over_a_start internal/backend/incarnation.go \
+	'case entry.StartMillis != known.StartMillis:' 'case false:' internal/backend TestRestartClearsState
+mutant late_entry_wins internal/backend/incarnation.go \
+	'case entry.StartMillis < newest:' 'case false:' internal/backend 'TestStaleReportsAreIgnored|TestReportsInAnyOrder'
 mutant births_forgotten_with_the_entry internal/backend/backend.go \
-	'	s.births.note(known.Incarnation())
-' '' internal/backend TestBirthsOnlyRiseOverAnAbsence
-mutant entry_without_birth_is_a_new_life internal/backend/life.go \
-	'case told.StartMillis == 0 && newest > 0:' 'case false:' internal/backend TestEntryWithoutBirthBehindOneWithIt
+	'	s.startTimes.record(known.Incarnation())
+' '' internal/backend TestStaleEntryAfterRemoval
+mutant entry_without_birth_is_a_new_life internal/backend/incarnation.go \
+	'case entry.StartMillis == 0 && newest > 0:' 'case false:' internal/backend TestEntryWithoutStartTime
 mutant words_of_another_life_count internal/backend/backend.go \
-	'if !exists || known.StartMillis != life.StartMillis {' 'if !exists {' internal/backend TestLateWordsOfALifeThatHasEnded
+	'if !exists || known.StartMillis != incarnation.StartMillis {' 'if !exists {' internal/backend TestStaleReportsAreIgnored
 mutant loads_of_another_life_count internal/backend/lease.go \
-	'|| load.StartMillis != known.StartMillis' '' internal/backend TestLateWordsOfALifeThatHasEnded
+	'|| load.StartMillis != known.StartMillis' '' internal/backend TestStaleReportsAreIgnored
 mutant loads_of_two_lives_added internal/backend/backend.go \
-	'case other.StartMillis < l.StartMillis:' 'case false:' internal/backend TestWorkAtTwoLivesIsNotAdded
+	'case other.StartMillis < l.StartMillis:' 'case false:' internal/backend TestPeerLoadsOfTwoIncarnations
 mutant loads_told_without_a_life internal/exchange/message.go \
 	'StartMillis: load.StartMillis, ' '' internal/exchange TestMessagesNameLives
 mutant place_of_the_life_before internal/serving/exchange.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -26,10 +26,10 @@
 mutant waiting_own_sums_told_back internal/exchange/message.go \
 	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelaySumsWhatWaits
 mutant waiting_never_leaves internal/backend/waiting.go \
-	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestSumsOfWhatWaits
+	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestQueueStats
 mutant waiting_nothing_freed internal/backend/lease.go \
-	'	if hadPlace {' '	if hadPlace && false {' internal/backend TestSumsOfWhatWaits
+	'	if hadSlot {' '	if hadSlot && false {' internal/backend TestQueueStats
 mutant waiting_peers_kept internal/backend/waiting.go \
-	'delete(s.peerQueueStats, peer)' '' internal/backend TestSumsOfWhatWaits
+	'delete(s.peerQueueStats, peer)' '' internal/backend TestQueueStats
 mutant waiting_refused_frees_places internal/backend/lease.go \
-	'	if hadPlace {' '	if hadPlace || true {' internal/backend TestSumsOfWhatWaits
+	'	if hadSlot {' '	if hadSlot || true {' internal/backend TestQueueStats
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -1,19 +1,19 @@
 # Mechanisms of evacuated zones and of cold back ends.
-mutant evacuation_ignored_at_the_send internal/backend/closed.go \
-	'return known.Draining || s.closing.evacuated[known.Zone] ||' 'return known.Draining ||' internal/backend TestEvacuatedZoneGetsNothingNew
+mutant evacuation_ignored_at_the_send internal/backend/admission.go \
+	'return known.Draining || s.admission.evacuated[known.Zone] ||' 'return known.Draining ||' internal/backend TestEvacuatedZoneGetsNoNewWork
 mutant evacuated_places_used internal/backend/lease.go \
-	'if s.isClosed(known, now) {' 'if false {' internal/backend TestEvacuatedZoneGetsNothingNew
+	'if s.isClosed(known, now) {' 'if false {' internal/backend TestEvacuatedZoneGetsNoNewWork
 mutant order_outlives_its_row internal/frontend/evacuation.go \
 	'e.ordered = map[string]string{}
 	e.change' 'e.change' internal/frontend TestOrdersForZones
 mutant order_forgotten_at_a_start internal/frontend/consumers.go \
 	'c.evacuations.replace(rows, version)' '_ = version' internal/frontend TestOrdersForZones
 mutant cold_entries_ignored internal/backend/backend.go \
-	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackendGetsItsSeats
-mutant seats_not_counted internal/backend/closed.go \
-	'known.coldAllowance.sent++' '_ = known' internal/backend TestColdBackendGetsItsSeats
-mutant reopened_zone_is_warm internal/backend/closed.go \
-	's.closing.reopened[zone] = now' '_ = now' internal/backend TestReopenedZoneIsTakenForCold
+	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackendAllowance
+mutant seats_not_counted internal/backend/admission.go \
+	'known.coldAllowance.sent++' '_ = known' internal/backend TestColdBackendAllowance
+mutant reopened_zone_is_warm internal/backend/admission.go \
+	's.admission.reopened[zone] = now' '_ = now' internal/backend TestReopenedZoneIsCold
 mutant pace_by_daemon internal/warmup/warmup.go \
 	'if duty.Owner(key, daemons) == daemon {' 'if duty.Owner(key, daemons) != "" {' internal/warmup TestColdBackendsStayWithinWhatTheyBear
 mutant both_sides_of_a_cut_take_all internal/warmup/warmup.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -182,7 +182,7 @@
 mutant place_not_sent platform/runner.go \
 	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
-	'if isCrowded && known.batch > 0 {' 'if false {' internal/backend TestOwnerHearsAtOnceOfWaitingOnlineRequests
+	'if isOverloaded && known.batch > 0 {' 'if false {' internal/backend TestOverloadSignal
 mutant items_queue internal/job/pacing.go \
 	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsEnterNoFullService
 mutant no_pace internal/table/follower.go \
