--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,9 +1,8 @@
-// Package warmup shares out the few requests that a cold backend bears among the
-// daemons of a fleet, without a message for each request. A backend that has just
-// started, or whose zone has come back, works slowly for some seconds and falls over when
-// all daemons take it for the emptiest at once. Time is cut into turns; in each turn a
-// backend has some seats, and each seat belongs to one daemon, drawn by rendezvous
-// hashing, which may send one request for it.
+// Package warmup divides the request rate of a cold backend among the daemons of a fleet
+// without messages. A backend that has just started, or whose zone was reopened, is slow
+// for some seconds and is overloaded if every daemon selects it as the least loaded one.
+// Time is divided into windows. In each window a backend has a fleet-wide allowance of
+// requests, and rendezvous hashing assigns each of them to one daemon.
 package warmup
 
 import (
@@ -15,37 +14,37 @@
 )
 
 const (
-	// windowTime is the length of a turn. Any second meets five turns at most.
+	// windowTime is the length of a window. Any second overlaps five windows at most.
 	windowTime = 250 * time.Millisecond
-	// safeShare is the part of a backend's rate that is given out. Any second meets a
-	// quarter more than its own turns, and daemons on both sides of a cut give all seats
-	// out: together they send 2 x 1.25 x 0.6 = 1.5 times the rate at most.
+	// safeShare is the share of a backend's rate that is assigned. The five windows of a
+	// second allow 1.25 times the assigned rate, and two sides of a partition each assign
+	// all of it: at most 2 x 1.25 x 0.6 = 1.5 times the backend's rate.
 	safeShare = 0.6
 )
 
-// Window numbers spans of time alike on all daemons, as far as their clocks agree.
+// Window is the number of a window. It is the same on all daemons with synchronized clocks.
 type Window int64
 
-// WindowAt returns the turn of a moment.
+// WindowAt returns the window of a time.
 func WindowAt(now time.Time) Window { return Window(now.UnixNano() / int64(windowTime)) }
 
-// fleetAllowance is how many requests all daemons together may send in a turn to a backend that
-// bears so many a second. Parts of a seat add up over the turns.
-func fleetAllowance(perSecond float64, turn Window) int {
-	perTurn := perSecond * safeShare * windowTime.Seconds()
-	until := func(turn Window) float64 { return math.Floor(float64(turn%windowCycle) * perTurn) }
-	return int(until(turn%windowCycle+1) - until(turn))
+// fleetAllowance returns how many requests all daemons together may send to a backend in a
+// window. perSecond is the backend's rate. Fractions of a request accumulate over windows.
+func fleetAllowance(perSecond float64, window Window) int {
+	perWindow := perSecond * safeShare * windowTime.Seconds()
+	granted := func(window Window) float64 { return math.Floor(float64(window%windowCycle) * perWindow) }
+	return int(granted(window%windowCycle+1) - granted(window))
 }
 
-// windowCycle bounds the numbers that are multiplied, so that parts of a seat are exact.
+// windowCycle limits the window numbers that are multiplied, so that fractions stay exact.
 const windowCycle = 1 << 20
 
-// Allowance returns how many requests a daemon may send to a backend in a turn. The backend
-// is named by its life, so that each life has its own draw.
-func Allowance(daemon string, daemons []string, backend string, perSecond float64, turn Window) int {
+// Allowance returns how many requests a daemon may send to a backend in a window. daemons are
+// all members, perSecond is the backend's rate, and backend identifies its incarnation.
+func Allowance(daemon string, daemons []string, backend string, perSecond float64, window Window) int {
 	own := 0
-	for seat := range fleetAllowance(perSecond, turn) {
-		key := backend + "/" + strconv.FormatInt(int64(turn), 10) + "/" + strconv.Itoa(seat)
+	for index := range fleetAllowance(perSecond, window) {
+		key := backend + "/" + strconv.FormatInt(int64(window), 10) + "/" + strconv.Itoa(index)
 		if duty.Owner(key, daemons) == daemon {
 			own++
 		}
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -15,6 +15,6 @@
 mutant reopened_zone_is_warm internal/backend/admission.go \
 	's.admission.reopened[zone] = now' '_ = now' internal/backend TestReopenedZoneIsCold
 mutant pace_by_daemon internal/warmup/warmup.go \
-	'if duty.Owner(key, daemons) == daemon {' 'if duty.Owner(key, daemons) != "" {' internal/warmup TestColdBackendsStayWithinWhatTheyBear
+	'if duty.Owner(key, daemons) == daemon {' 'if duty.Owner(key, daemons) != "" {' internal/warmup TestColdRateIsNotExceeded
 mutant both_sides_of_a_cut_take_all internal/warmup/warmup.go \
-	'safeShare = 0.6' 'safeShare = 1.0' internal/warmup TestColdBackendsStayWithinWhatTheyBear
+	'safeShare = 0.6' 'safeShare = 1.0' internal/warmup TestColdRateIsNotExceeded
