--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,8 +1,8 @@
-// Package topology answers, for one daemon of a fleet of any size, with whom it has to
-// do: where on the ring of backends its own section begins, which daemons share backends
-// with it, and how many daemons of a zone follow the store for the others. What a daemon
-// keeps, hears and says is bounded by these answers and not by the fleet. All are pure, so
-// that daemons that see the same members agree without a message.
+// Package topology computes which daemons and backends a daemon exchanges state with: the
+// start of its section on the ring of backends, the daemons that share backends with it,
+// and the number of daemons per zone that watch the store for the others. These bounds keep
+// the state and messages of a daemon independent of the size of the fleet. All functions are
+// pure: daemons with the same member list get the same results.
 package topology
 
 import (
@@ -14,45 +14,43 @@
 )
 
 const (
-	// FullMeshLimit is the largest fleet in which every daemon has to do with all others and
-	// does for itself what a few daemons of a zone do for the others in a larger one. At
-	// 40 daemons a daemon reads 100 messages a second.
+	// FullMeshLimit is the largest fleet in which every daemon exchanges with every other
+	// one and watches the store itself.
 	FullMeshLimit = 40
-	// upstreamFollowers is how many daemons one upstream serves at most, and
-	// leastUpstreams how many upstreams a zone has at least: when one is lost, its
-	// followers move to the others.
-	upstreamFollowers = 32
-	leastUpstreams    = 2
-	// maxNeighbors bounds those who are told of each change.
+	// maxFollowers is the maximum number of daemons that one upstream serves.
+	// minUpstreams is the minimum number of upstreams per zone, so that followers of a
+	// failed one can move to another.
+	maxFollowers = 32
+	minUpstreams = 2
+	// maxNeighbors limits the daemons that are notified of each change.
 	maxNeighbors = 2 * FullMeshLimit
-	// sharingDeviations is by how many standard deviations more daemons than the mean may know
-	// a backend: places are drawn.
+	// sharingDeviations is the number of standard deviations above the mean that is
+	// allowed for daemons per backend, since ring positions are random.
 	sharingDeviations = 4
-	// reachMargin widens the own section when others are sought that share a part of
-	// it: theirs may be wider.
-	reachMargin = 1.5
+	// sectionMargin is the factor by which the own section is widened to find daemons
+	// that share a part of it, because their sections may be wider.
+	sectionMargin = 1.5
 )
 
-// RingPosition is where a daemon's section of the backends begins, from 0 to below 1 of the
-// ring. Daemons are spread over the ring whatever their names and zones.
+// RingPosition returns where a daemon's section of the backends begins, as a fraction of the
+// ring in [0, 1). It is a hash of the name.
 func RingPosition(daemon string) float64 {
 	return float64(xxhash.Sum64String("section/"+daemon)) / math.MaxUint64 * (1 - 1e-9)
 }
 
-// RingDistance is the way between two places, the shorter one around the ring.
+// RingDistance returns the shorter distance between two ring positions.
 func RingDistance(a, b float64) float64 {
-	apart := math.Abs(a - b)
-	return min(apart, 1-apart)
+	difference := math.Abs(a - b)
+	return min(difference, 1-difference)
 }
 
-// Neighbors returns the daemons, other than the one named, that may share backends with
-// it if its section has a width, a part of the ring: the nearest ones of them where there
-// are too many to be told directly.
+// Neighbors returns the other daemons that may share backends with a daemon whose section
+// has the given width, a fraction of the ring. It returns the nearest maxNeighbors of them.
 func Neighbors(daemon string, width float64, daemons []string) []string {
 	own, found := RingPosition(daemon), []neighbor{}
 	for _, other := range daemons {
 		distance := RingDistance(own, RingPosition(other))
-		if other != daemon && distance <= width*reachMargin {
+		if other != daemon && distance <= width*sectionMargin {
 			found = append(found, neighbor{name: other, distance: distance})
 		}
 	}
@@ -72,15 +70,15 @@
 	distance float64
 }
 
-// MaxDaemonsPerBackend is how many daemons of a fleet send to the same backend, at most, where each
-// knows a section of a width.
+// MaxDaemonsPerBackend returns the maximum number of daemons that send to the same backend,
+// if each daemon's section has the given width.
 func MaxDaemonsPerBackend(width float64, daemons int) int {
 	expected := width * float64(daemons)
 	return min(daemons, int(math.Ceil(expected+sharingDeviations*math.Sqrt(expected)))+1)
 }
 
-// UpstreamCount is how many daemons of a zone follow the store for the others.
+// UpstreamCount returns how many daemons of a zone watch the store for the others.
 func UpstreamCount(daemonsOfZone int) int {
-	needed := (daemonsOfZone + upstreamFollowers - 1) / upstreamFollowers
-	return max(needed, leastUpstreams)
+	needed := (daemonsOfZone + maxFollowers - 1) / maxFollowers
+	return max(needed, minUpstreams)
 }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -18,8 +18,8 @@
 	return names
 }
 
-// TestNeighborsAreBounded: with ten backends a daemon and sections of 192 of them, fleets
-// of 1,000 and of 2,000 daemons tell as many others.
+// The number of neighbors doesn't grow with the fleet: ten backends per daemon, sections of
+// 192 backends.
 func TestNeighborsAreBounded(t *testing.T) {
 	means := map[int]float64{}
 	for _, size := range []int{100, 1000, 2000} {
@@ -37,9 +37,9 @@
 	require.InDelta(t, means[1000], means[2000], 4)
 }
 
-// TestWhoSharesBackendsIsTold: daemons whose sections overlap are neighbors, also around the
-// end of the ring, and of the same section each other's.
-func TestWhoSharesBackendsIsTold(t *testing.T) {
+// Daemons with overlapping sections are neighbors of each other, also across the end of the
+// ring.
+func TestDaemonsWithSharedBackendsAreNeighbors(t *testing.T) {
 	const width = 0.01
 	names := fleet(2000)
 	for _, a := range names[:200] {
@@ -55,30 +55,30 @@
 	require.InDelta(t, 0.02, topology.RingDistance(0.99, 0.01), 1e-9)
 }
 
-// TestPlacesSpread over the ring whatever zones and numbers are in the names.
-func TestPlacesSpread(t *testing.T) {
+// Ring positions are evenly spread for similar names.
+func TestRingPositionsAreSpread(t *testing.T) {
 	tenths := make([]int, 10)
 	for _, name := range fleet(2000) {
-		place := topology.RingPosition(name)
-		require.GreaterOrEqual(t, place, 0.0)
-		require.Less(t, place, 1.0)
-		tenths[int(place*10)]++
+		position := topology.RingPosition(name)
+		require.GreaterOrEqual(t, position, 0.0)
+		require.Less(t, position, 1.0)
+		tenths[int(position*10)]++
 	}
 	for _, count := range tenths {
 		require.InDelta(t, 200, count, 60)
 	}
 }
 
-// TestUpstreamsGrowWithTheZone, so that none serves more than 32 daemons.
-func TestUpstreamsGrowWithTheZone(t *testing.T) {
+// No upstream serves more than 32 daemons.
+func TestUpstreamCount(t *testing.T) {
 	require.Equal(t, 2, topology.UpstreamCount(0))
 	require.Equal(t, 2, topology.UpstreamCount(20))
 	require.Equal(t, 7, topology.UpstreamCount(197))
 	require.Equal(t, 13, topology.UpstreamCount(394))
 }
 
-// TestSharingIsNeverMoreThanAll, nor less than are likely to know a backend.
-func TestSharingIsNeverMoreThanAll(t *testing.T) {
+// The maximum is at most the fleet size and covers the expected deviation.
+func TestMaxDaemonsPerBackend(t *testing.T) {
 	require.Equal(t, 10, topology.MaxDaemonsPerBackend(1, 10))
 	require.Equal(t, 38, topology.MaxDaemonsPerBackend(0.0192, 986))
 	require.Equal(t, 1, topology.MaxDaemonsPerBackend(0.5, 1))
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -17,9 +17,9 @@
 mutant rare_services_forgotten internal/frontend/section.go \
 	'if usable[service] < p.wantedOf(service) {' 'if usable[service] < 0 {' internal/frontend TestSectionHasEnoughOfEachService
 mutant all_told_directly internal/topology/topology.go \
-	'if other != daemon && distance <= width*reachMargin {' 'if other != daemon {' internal/topology TestNeighborsAreBounded
+	'if other != daemon && distance <= width*sectionMargin {' 'if other != daemon {' internal/topology TestNeighborsAreBounded
 mutant two_upstreams_for_any_zone internal/topology/topology.go \
-	'return max(needed, leastUpstreams)' 'return max(min(needed, 1), leastUpstreams)' internal/topology TestUpstreamsGrowWithTheZone
+	'return max(needed, minUpstreams)' 'return max(min(needed, 1), minUpstreams)' internal/topology TestUpstreamCount
 mutant bulk_gossiped internal/membership/sync.go \
 	'if len(members) < bulkMembers {' 'if true {' internal/membership/simulation TestLargeFleetThatStartsAtOnce
 mutant schema_changed internal/quota/messages.go \
