--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,6 @@
-// Package route holds the routing configuration that is in force: routes by
-// host and path prefix, services, tenants, and limits on callers. A Table is compiled
-// once from a Config and never changes; Holder swaps whole tables, and their
-// versions only rise.
+// Package route holds the routing configuration: routes by host and path prefix, services,
+// tenants, and limits on requests. A Config is compiled into an immutable Table. A Holder
+// keeps the current Table and replaces it only by one with a higher version.
 package route
 
 import (
@@ -10,7 +9,7 @@
 	"topazpulley/internal/tenant"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind is the kind of requests that a route takes.
 type Kind uint8
 
 // The kinds of route.
@@ -19,20 +18,20 @@
 	KindRepeatable Kind = iota
 	// KindOnce marks plain requests that run at most once.
 	KindOnce
-	// KindStream marks requests that are answered by a series of events.
+	// KindStream marks requests that are answered with a stream of events.
 	KindStream
-	// KindJob marks batch jobs, whose items run later.
+	// KindJob marks batch jobs.
 	KindJob
 )
 
-// Target is one service of a route with its share of the requests.
+// Target is a service of a route with its share of the requests.
 type Target struct {
 	Service string
 	// Weight is relative to the other targets' weights.
 	Weight int
 }
 
-// Route says where requests of a host and path prefix go and how.
+// Route describes where and how requests of a host and path prefix are sent.
 type Route struct {
 	Name string
 	// Host is the host name in lower case, without a port.
@@ -40,29 +39,27 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable allows a broken stream to go on at another backend.
+	// Resumable allows a broken stream to be resumed at another backend.
 	Resumable bool
 	// Targets has at least one entry.
 	Targets []Target
-	// Timeout is the longest time that a request is held.
+	// Timeout is the time limit of a request in the daemon.
 	Timeout time.Duration
-	// Objective is the time in which an answer, or a stream's first event,
-	// is worth most.
+	// Objective is the latency target of an answer, or of a stream's first event.
 	Objective time.Duration
-	// Due is when all results of a job should exist, from its submission.
+	// Due is the time from a job's submission until all its results should exist.
 	Due time.Duration
-	// GiveUpAfter is when an item of a job may be given up, from the job's
-	// submission; 0 means never.
+	// GiveUpAfter is the time from a job's submission after which its items may be given
+	// up; 0 means never.
 	GiveUpAfter time.Duration
-	// MaxQueuedTokens bounds the tokens that may wait on a job route, summed
-	// over all daemons; 0 means no bound.
+	// MaxQueuedTokens limits the queued tokens of a job route, summed over all daemons; 0
+	// means no limit.
 	MaxQueuedTokens int64
-	// MaxAttempts is the greatest number of backends that may run one request.
+	// MaxAttempts is the maximum number of backends that may run one request.
 	MaxAttempts int
-	// Priority is the rank of the route, 0 the highest.
+	// Priority is the route's rank; 0 is the highest.
 	Priority int
-	// KeyOptional lets callers without a key use the route although the
-	// configuration has tenants.
+	// KeyOptional allows requests without a key even if the configuration has tenants.
 	KeyOptional bool
 }
 
@@ -71,12 +68,11 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// IsOfHost reports whether the route belongs to a host name, which may carry a
-// port.
+// IsOfHost reports whether the route belongs to a host, which may include a port.
 func (r *Route) IsOfHost(host string) bool { return r.Host == canonicalHost(host) }
 
-// Service picks one target by a number that is spread evenly over all values,
-// such as a hash of the request's id.
+// Service selects a target by weight. spread must be evenly distributed, such as a hash of
+// the request's id.
 func (r *Route) Service(spread uint64) string {
 	total := 0
 	for _, target := range r.Targets {
@@ -95,20 +91,20 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Service describes a group of interchangeable backends.
+// Service is a group of interchangeable backends.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one backend from all daemons
-	// together; 0 means no bound.
+	// MaxConnections limits the connections to one backend from all daemons together; 0
+	// means no limit.
 	MaxConnections int
-	// ReservationTime is the longest time for which a backend sets a place
-	// aside; 0 means that it does not.
+	// ReservationTime is the maximum time for which a backend keeps a reservation; 0 means
+	// that it supports none.
 	ReservationTime time.Duration
-	// ColdRate is how many requests a second a cold backend bears; 0 means any number.
+	// ColdRate is the requests per second that a cold backend may get; 0 means no limit.
 	ColdRate float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits restrict the size and duration of incoming requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -121,7 +117,7 @@
 	Version  int64
 	Routes   []Route
 	Services []Service
-	// Tenants may call; without any, everybody may.
+	// Tenants are allowed to send requests; if empty, everybody is.
 	Tenants []tenant.Tenant
 	Limits  Limits
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -9,7 +9,7 @@
 	"topazpulley/internal/tenant"
 )
 
-// Table is a compiled Config. It never changes.
+// Table is a compiled Config. It is immutable.
 type Table struct {
 	config   Config
 	byHost   map[string][]*Route
@@ -36,14 +36,14 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on incoming requests.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Tenants returns who may call.
+// Tenants returns the directory of tenants.
 func (t *Table) Tenants() *tenant.Directory { return t.tenants }
 
-// Match returns the route of the host whose prefix begins the path and is the
-// longest. The host may carry a port.
+// Match returns the host's route with the longest prefix of the path. The host may include a
+// port.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, candidate := range t.byHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, candidate.Prefix) {
@@ -53,7 +53,7 @@
 	return nil, false
 }
 
-// TargetServices returns the services to which routes send requests, each once.
+// TargetServices returns the services with a positive weight in any route, each once.
 func (t *Table) TargetServices() []string {
 	seen, services := map[string]bool{}, []string{}
 	for _, each := range t.config.Routes {
@@ -78,7 +78,7 @@
 	return found
 }
 
-// Service returns what is configured of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name string) (*Service, bool) {
 	service, found := t.services[name]
 	return service, found
@@ -91,32 +91,32 @@
 	return strings.ToLower(host)
 }
 
-// Holder keeps the table in force. The zero value holds none.
+// Holder holds the current table. The zero value holds none. It is safe for concurrent use.
 type Holder struct {
 	current   atomic.Pointer[Table]
 	appliedAt atomic.Int64
 }
 
-// Current returns the table in force, or nil when none is known yet.
+// Current returns the current table, or nil if none was applied yet.
 func (h *Holder) Current() *Table { return h.current.Load() }
 
-// Apply puts a configuration in force if its version is higher than that of
-// the present one, and reports whether it did.
+// Apply replaces the table if config has a higher version than the current one. It reports
+// whether it did.
 func (h *Holder) Apply(config Config, now time.Time) bool {
 	next := Compile(config)
 	for {
-		present := h.current.Load()
-		if present != nil && present.Version() >= config.Version {
+		current := h.current.Load()
+		if current != nil && current.Version() >= config.Version {
 			return false
 		}
-		if h.current.CompareAndSwap(present, next) {
+		if h.current.CompareAndSwap(current, next) {
 			h.appliedAt.Store(now.UnixNano())
 			return true
 		}
 	}
 }
 
-// Age returns how long the present table has been in force.
+// Age returns the time since the current table was applied.
 func (h *Holder) Age(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, h.appliedAt.Load()))
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -18,8 +18,7 @@
 	}})
 }
 
-// TestLongestPrefixOfTheHostWins.
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixMatches(t *testing.T) {
 	cases := []struct{ host, path, name string }{
 		{"a.example", "/x/z", "short"}, {"a.example", "/x/y/z", "long"}, {"A.Example:8080", "/x/", "short"},
 		{"b.example", "/anything", "other"}, {"a.example", "/x", ""}, {"a.example", "/", ""}, {"c.example", "/x/", ""},
@@ -33,8 +32,7 @@
 	}
 }
 
-// TestVersionsOnlyRise.
-func TestVersionsOnlyRise(t *testing.T) {
+func TestOlderVersionIsNotApplied(t *testing.T) {
 	holder := &route.Holder{}
 	require.Nil(t, holder.Current())
 	require.True(t, holder.Apply(route.Config{Version: 5}, time.Now()))
@@ -43,7 +41,7 @@
 	require.EqualValues(t, 5, holder.Current().Version())
 }
 
-// TestSplitByWeight: over evenly spread numbers each target gets its share.
+// Evenly spread numbers select each target by its weight.
 func TestSplitByWeight(t *testing.T) {
 	split := &route.Route{Targets: []route.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -138,7 +138,7 @@
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
-	'present.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
+	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
 mutant pass_false_promises platform/runner.go \
 	'case promises(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
 mutant no_answer_id platform/runner.go \
