--- a/internal/batchcapacity/capacity.go
+++ b/internal/batchcapacity/capacity.go
@@ -5,124 +5,122 @@
 	"time"
 )
 
-// Policy tells what the room for batch follows.
+// Policy selects how the capacity for batch items is determined.
 type Policy string
 
 // The policies.
 const (
-	// PolicyFree gives batch every slot that looks free.
+	// PolicyFree gives batch all free slots.
 	PolicyFree Policy = "free"
-	// PolicyOnce gives batch every slot that looks free, and has items give way only for
-	// what they have too much.
+	// PolicyOnce gives batch all free slots and preempts only excess items.
 	PolicyOnce Policy = "once"
-	// PolicyReserve also has items that can wait leave free what online requests need to
-	// find places.
+	// PolicyReserve is PolicyOnce, but deferrable items keep free the slots that online
+	// requests need to find one.
 	PolicyReserve Policy = "reserve"
-	// PolicyPeriodic also has items that can wait leave room for a burst that the
-	// rhythm of demand brings.
+	// PolicyPeriodic is PolicyReserve, but deferrable items also keep free the slots of
+	// the next burst of periodic demand.
 	PolicyPeriodic Policy = "rhythm"
 )
 
-// IsKnown reports whether the policy is one of those.
+// IsKnown reports whether the policy is one of the above.
 func (p Policy) IsKnown() bool {
 	return p == PolicyFree || p == PolicyOnce || p == PolicyReserve || p == PolicyPeriodic
 }
 
-// Capacity is how many more items the whole fleet should send to a service, as far as the backends
-// have free slots.
+// Capacity is the number of further items that all daemons together should send to a service.
+// Each item also needs a free slot.
 type Capacity struct {
-	// Urgent is for items that must run now, which only the backends' slots bound; Lasting
-	// is for those that can wait.
+	// Urgent is the capacity for items that must run now, limited only by the number of
+	// slots. Deferrable is the capacity for items that can wait.
 	Urgent     int
 	Deferrable int
-	// Reserve is how many slots stayed free for online requests.
+	// Reserve is the number of slots kept free for online requests.
 	Reserve int
-	// MeanSlots is how many slots batch has in the mean beside the online work of the last
-	// seconds.
+	// MeanSlots is the mean number of slots that recent online work leaves to batch.
 	MeanSlots int
-	// Period is the rhythm that was followed, and Wait how long it takes until its
-	// next valley; 0 means none.
+	// Period is the detected period of online demand and Wait the time until its next
+	// valley; 0 if there is none.
 	Period time.Duration
 	Wait   time.Duration
 }
 
-// Observation is what a decision rests on.
+// Observation is the load and demand that a decision uses.
 type Observation struct {
 	Load   Load
 	Demand *Demand
-	// ItemTime is how long items run.
+	// ItemTime is the duration of an item.
 	ItemTime time.Duration
-	// Age is how old the load is.
+	// Age is the age of the load.
 	Age time.Duration
 }
 
-// keptFree is how many slots items that can wait leave free: what lets requests find
-// places, never more than there is online work. Into less they would be sent to be taken
-// back.
-func keptFree(load Load) int { return min(FreeSlotsNeeded(load), load.Online) }
+// onlineReserve returns the number of slots that deferrable items keep free: those that
+// requests need to find one, at most the amount of online work. Items sent into fewer free
+// slots would soon be preempted.
+func onlineReserve(load Load) int { return min(FreeSlotsNeeded(load), load.Online) }
 
-// freeSlots is what is left beside the load and a reserve.
+// freeSlots returns the free slots beyond a reserve.
 func (l Load) freeSlots(reserve int) int { return max(l.Slots-l.Online-l.Batch-reserve, 0) }
 
-// Decide returns the room for items.
-func Decide(policy Policy, sight Observation) Capacity {
+// Decide returns the capacity for batch items.
+func Decide(policy Policy, observed Observation) Capacity {
 	if policy == PolicyFree || policy == PolicyOnce {
-		return Capacity{Urgent: sight.Load.Slots, Deferrable: sight.Load.Slots, MeanSlots: meanSlots(sight)}
+		return Capacity{Urgent: observed.Load.Slots, Deferrable: observed.Load.Slots, MeanSlots: meanSlots(observed)}
 	}
-	reserve := keptFree(sight.Load)
-	decided := Capacity{Urgent: sight.Load.Slots, Deferrable: sight.Load.freeSlots(reserve), Reserve: reserve, MeanSlots: meanSlots(sight)}
-	if policy == PolicyPeriodic && sight.Demand.Period() > 0 {
-		decided.Period, decided.Wait = sight.Demand.Period(), sight.Demand.UntilValley()
-		decided.Deferrable = min(decided.Deferrable, deferrableSlots(sight))
+	reserve := onlineReserve(observed.Load)
+	decided := Capacity{Urgent: observed.Load.Slots, Deferrable: observed.Load.freeSlots(reserve), Reserve: reserve, MeanSlots: meanSlots(observed)}
+	if policy == PolicyPeriodic && observed.Demand.Period() > 0 {
+		decided.Period, decided.Wait = observed.Demand.Period(), observed.Demand.UntilValley()
+		decided.Deferrable = min(decided.Deferrable, deferrableSlots(observed))
 	}
 	return decided
 }
 
-// deferrableSlots is the least room at any moment until an item that is sent now ends. Items
-// that run end evenly over the time that they take, so that less of them stands in the
-// way the later a burst comes.
-func deferrableSlots(sight Observation) int {
+// deferrableSlots returns the minimum number of free slots over the duration of an item sent
+// now. Running items are assumed to end at a constant rate, so fewer of them remain the later
+// a burst begins.
+func deferrableSlots(observed Observation) int {
 	least := math.MaxInt
-	for ahead := time.Duration(0); ahead < sight.ItemTime; ahead += SampleInterval {
-		online, _ := sight.Demand.Forecast(ahead, ahead+sight.Age)
-		left := 1 - float64(ahead)/float64(sight.ItemTime)
-		expected := Load{Backends: sight.Load.Backends, Slots: sight.Load.Slots, Online: online, Batch: int(float64(sight.Load.Batch) * left)}
-		least = min(least, expected.freeSlots(keptFree(expected)))
+	for ahead := time.Duration(0); ahead < observed.ItemTime; ahead += SampleInterval {
+		online, _ := observed.Demand.Forecast(ahead, ahead+observed.Age)
+		left := 1 - float64(ahead)/float64(observed.ItemTime)
+		expected := Load{Backends: observed.Load.Backends, Slots: observed.Load.Slots, Online: online, Batch: int(float64(observed.Load.Batch) * left)}
+		least = min(least, expected.freeSlots(onlineReserve(expected)))
 	}
 	return least
 }
 
-// meanSlots is how many slots batch has in the mean.
-func meanSlots(sight Observation) int {
-	usual := sight.Load
-	usual.Online, usual.Batch = sight.Demand.Mean(sight.Load.Online), 0
-	return max(usual.freeSlots(keptFree(usual)), sight.Load.Batch)
+// meanSlots returns the mean number of slots left to batch, at least those that it uses.
+func meanSlots(observed Observation) int {
+	average := observed.Load
+	average.Online, average.Batch = observed.Demand.Mean(observed.Load.Online), 0
+	return max(average.freeSlots(onlineReserve(average)), observed.Load.Batch)
 }
 
-// Timing is what decides whether an item can wait.
+// Timing decides whether an item can wait.
 type Timing struct {
-	// UntilDue is the time until the item is due, and Left what it has yet to run.
+	// UntilDue is the time until the item is due, Remaining its remaining run time.
 	UntilDue  time.Duration
 	Remaining time.Duration
-	// Spare is the time to spare below which the item must run.
+	// Spare is the minimum spare time before the due time of an item that may wait.
 	Spare time.Duration
-	// Wait is how long it may wait for room that lasts.
+	// Wait is the expected wait for deferrable capacity.
 	Wait time.Duration
 }
 
-// Backlog is what waits in the whole fleet.
+// Backlog is the batch work that waits in the whole fleet.
 type Backlog struct {
-	// Waiting are the items of all owners that wait.
+	// Waiting is the number of waiting items of all owners.
 	Waiting int
-	// MeanSlots are the slots that batch has in the mean, in bursts and between them.
+	// MeanSlots is the mean number of slots left to batch.
 	MeanSlots int
-	// ItemTime is how long items run.
+	// ItemTime is the duration of an item.
 	ItemTime time.Duration
 }
 
-// MustRun reports whether an item cannot wait: behind all others that wait, and after its
-// own wait, it would end with less than the time to spare; or so much waits that no room
-// may be left unused.
+// MustRun reports whether an item can't wait. That is the case if it would have less than
+// timing.Spare left when it ends after the whole backlog and timing.Wait, or if the backlog
+// alone takes timing.Spare.
 func MustRun(timing Timing, backlog Backlog) bool {
 	queued := time.Duration(float64(backlog.ItemTime) * float64(backlog.Waiting) / float64(max(backlog.MeanSlots, 1)))
 	return queued >= timing.Spare || timing.UntilDue-timing.Remaining-queued-timing.Wait < timing.Spare
--- a/internal/batchcapacity/demand.go
+++ b/internal/batchcapacity/demand.go
@@ -1,7 +1,7 @@
 // Package batchcapacity decides how many batch items a fleet's backends should run beside
-// online requests: how much room batch has now and through the next burst, whether
-// online demand comes in a rhythm, and which items wait for their turn. It is pure: it
-// works from the load that a daemon sees, and is told the time.
+// online requests: the capacity now and through the next burst, whether online demand is
+// periodic, and which items can wait. It has no clock and no I/O: callers pass the observed
+// load and the time.
 package batchcapacity
 
 import (
@@ -11,96 +11,91 @@
 )
 
 const (
-	// SampleInterval is the time between two samples of demand. Daemons hear of each
-	// other's work a few times a second at best.
+	// SampleInterval is the time between two samples of demand.
 	SampleInterval = 100 * time.Millisecond
-	// remembered is how many samples are kept: two of the longest period that is
-	// looked for.
-	remembered = 2 * longestLag
-	// longestLag and shortestLag bound the periods that are looked for, in samples. A
-	// longer one is of no use to items, which run for seconds; a shorter one comes and
-	// goes within the time in which daemons hear of each other.
-	longestLag  = 120
-	shortestLag = 20
-	// seekEvery is after how many samples the rhythm is looked for again.
-	seekEvery = 5
-	// leastLikeness is the correlation of one period with the one before from which
-	// on it is a rhythm. Bursts of equal height in noise come above 0.9; a single
-	// jump or a slow rise is as like itself, and is told by minPeriodTurns.
-	leastLikeness = 0.75
-	// leastSwing is the part of the slots by which online work must rise and fall in
-	// a rhythm for it to matter to batch.
-	leastSwing = 0.1
+	// maxSamples is the number of samples kept: two of the longest detectable period.
+	maxSamples = 2 * maxLag
+	// maxLag and minLag are the longest and the shortest detectable period in samples.
+	// Items run for seconds, so longer periods don't matter. Shorter ones are over before
+	// other daemons report their load.
+	maxLag = 120
+	minLag = 20
+	// detectInterval is the number of samples between two detections.
+	detectInterval = 5
+	// minCorrelation is the minimum correlation of two consecutive periods. A single jump
+	// or a slow rise may reach it too; minTransitions excludes these.
+	minCorrelation = 0.75
+	// minSwing is the minimum swing of periodic online work as a share of the slots.
+	minSwing = 0.1
 )
 
-// noiseDeviations is how many standard deviations online work must change by for it to be
-// no chance: requests that come independently vary by the square root of their number.
+// noiseDeviations is the number of standard deviations above which a change of online work is
+// significant. The number of independent requests is assumed to have a Poisson distribution.
 const noiseDeviations = 2
 
-// Load is a service's load as a daemon sees it.
+// Load is a service's load as observed by a daemon.
 type Load struct {
-	// Backends are those that take work, and Slots theirs.
+	// Backends is the number of usable backends, Slots the sum of their slots.
 	Backends int
 	Slots    int
-	// Online and Batch are the requests in flight there from all daemons.
+	// Online and Batch are the requests in flight from all daemons.
 	Online int
 	Batch  int
 }
 
-// Demand remembers the online work of a service over the last seconds. It belongs to
-// one goroutine.
+// Demand holds recent samples of a service's online work. It is not safe for concurrent use.
 type Demand struct {
-	levels   []float64
-	at       time.Time
-	slots    int
-	period   int
-	unsought int
+	levels         []float64
+	sampledAt      time.Time
+	slots          int
+	period         int
+	sinceDetection int
 }
 
-// Note records the load at a time. Samples that were missed count as the last one.
+// Note records the load at a time. Missed samples are filled with the last one. After a gap
+// of more than maxSamples, recording starts again.
 func (d *Demand) Note(load Load, now time.Time) {
-	missed := int(now.Sub(d.at)/SampleInterval) - 1
-	if d.at.IsZero() || missed > remembered {
+	missed := int(now.Sub(d.sampledAt)/SampleInterval) - 1
+	if d.sampledAt.IsZero() || missed > maxSamples {
 		d.levels, d.period, missed = nil, 0, 0
 	}
 	for range missed {
 		d.push(d.levels[len(d.levels)-1])
 	}
 	d.push(float64(load.Online))
-	d.at, d.slots = now, load.Slots
-	d.unsought++
-	if d.unsought >= seekEvery {
-		d.unsought = 0
-		d.seek()
+	d.sampledAt, d.slots = now, load.Slots
+	d.sinceDetection++
+	if d.sinceDetection >= detectInterval {
+		d.sinceDetection = 0
+		d.detectPeriod()
 	}
 }
 
 func (d *Demand) push(level float64) {
 	d.levels = append(d.levels, level)
-	if len(d.levels) > remembered {
-		d.levels = append(d.levels[:0], d.levels[len(d.levels)-remembered:]...)
+	if len(d.levels) > maxSamples {
+		d.levels = append(d.levels[:0], d.levels[len(d.levels)-maxSamples:]...)
 	}
 }
 
-// Period is the time in which online demand repeats itself; 0 means that no rhythm
-// shows.
+// Period returns the period of online demand, or 0 if none is detected.
 func (d *Demand) Period() time.Duration { return time.Duration(d.period) * SampleInterval }
 
-// Forecast is the most online work that the rhythm brings between two times from now.
-// It reports false while no rhythm shows.
+// Forecast returns the maximum online work expected between two times from now. It returns
+// false if no period is detected.
 func (d *Demand) Forecast(from, to time.Duration) (int, bool) {
 	if d.period == 0 {
 		return 0, false
 	}
 	most := 0.0
 	for ahead := int(from / SampleInterval); ahead <= int(to/SampleInterval); ahead++ {
-		most = max(most, d.periodAgo(ahead))
+		most = max(most, d.periodicLevel(ahead))
 	}
 	return int(math.Ceil(most)), true
 }
 
-// Mean is the online work in the mean over what is remembered, in whole periods if a
-// rhythm shows; unknown if nothing is.
+// Mean returns the mean online work of the samples, over whole periods if one is detected. It
+// returns unknown if there are no samples.
 func (d *Demand) Mean(unknown int) int {
 	if len(d.levels) == 0 {
 		return unknown
@@ -112,8 +107,8 @@
 	return int(mean(recent))
 }
 
-// Rise is how much more online work there is than so long ago, 0 if the difference may be
-// chance.
+// Rise returns the increase of online work since the given time ago, or 0 if it isn't
+// significant.
 func (d *Demand) Rise(ago time.Duration) int {
 	steps := int(ago / SampleInterval)
 	if len(d.levels) <= steps {
@@ -126,13 +121,13 @@
 	return int(now - before)
 }
 
-// UntilValley is how long it takes until the burst that the rhythm brings next, or that
-// runs, is over; 0 while no rhythm shows.
+// UntilValley returns the time until the current or next burst ends, or 0 if no period is
+// detected.
 func (d *Demand) UntilValley() time.Duration {
 	middle := float64(d.Mean(0))
 	wasHigh := false
 	for ahead := range d.period {
-		isHigh := d.periodAgo(ahead) > middle
+		isHigh := d.periodicLevel(ahead) > middle
 		if wasHigh && !isHigh {
 			return time.Duration(ahead) * SampleInterval
 		}
@@ -141,49 +136,49 @@
 	return d.Period()
 }
 
-// periodAgo is the level of one period before the time that lies so many samples ahead.
-func (d *Demand) periodAgo(ahead int) float64 {
+// periodicLevel returns the level one period before the time that is ahead samples from now.
+func (d *Demand) periodicLevel(ahead int) float64 {
 	back := d.period - ahead%d.period
 	return d.levels[max(len(d.levels)-1-back, 0)]
 }
 
-// seek looks for the shortest period at which demand is like itself, and forgets one at
-// which it no longer is. Two whole periods must have been seen.
-func (d *Demand) seek() {
+// detectPeriod sets the period to the shortest lag with a high autocorrelation, or to 0 if
+// there is none. Samples of two whole periods are necessary.
+func (d *Demand) detectPeriod() {
 	d.period = 0
-	likenesses := map[int]float64{}
+	correlations := map[int]float64{}
 	most := 0.0
-	for lag := shortestLag; lag <= longestLag && 2*lag <= len(d.levels); lag++ {
-		likenesses[lag] = d.likeness(lag)
-		most = max(most, likenesses[lag])
+	for lag := minLag; lag <= maxLag && 2*lag <= len(d.levels); lag++ {
+		correlations[lag] = d.correlationAt(lag)
+		most = max(most, correlations[lag])
 	}
-	if most < leastLikeness {
+	if most < minCorrelation {
 		return
 	}
-	lag := shortestLag
-	for likenesses[lag] < max(most-likenessTolerance, leastLikeness) {
+	lag := minLag
+	for correlations[lag] < max(most-correlationTolerance, minCorrelation) {
 		lag++
 	}
-	for likenesses[lag+1] > likenesses[lag] {
+	for correlations[lag+1] > correlations[lag] {
 		lag++
 	}
 	d.period = lag
 }
 
-// likenessTolerance is how much less like itself demand may be at a shorter period: twice
-// a period is one too, and by chance the likelier.
-const likenessTolerance = 0.15
+// correlationTolerance is how far below the maximum the correlation of a shorter period may
+// be. Multiples of a period correlate as well and may exceed it by chance.
+const correlationTolerance = 0.15
 
-// likeness is the correlation of the last lag samples with those before them, 0 where
-// demand does not rise and fall by enough in both.
-func (d *Demand) likeness(lag int) float64 {
+// correlationAt returns the correlation of the last lag samples with the lag samples before
+// them, or 0 if either swings too little or there are too few transitions.
+func (d *Demand) correlationAt(lag int) float64 {
 	end := len(d.levels)
-	late, early := d.levels[end-lag:], d.levels[end-2*lag:end-lag]
-	leastSwing := leastSwing * float64(d.slots)
-	if swing(late) <= leastSwing || swing(early) <= leastSwing || turns(d.levels[end-2*lag:]) < minPeriodTurns {
+	later, earlier := d.levels[end-lag:], d.levels[end-2*lag:end-lag]
+	minSwing := minSwing * float64(d.slots)
+	if swing(later) <= minSwing || swing(earlier) <= minSwing || transitions(d.levels[end-2*lag:]) < minTransitions {
 		return 0
 	}
-	return correlation(late, early)
+	return correlation(later, earlier)
 }
 
 func correlation(xs, ys []float64) float64 {
@@ -200,13 +195,12 @@
 
 func swing(levels []float64) float64 { return slices.Max(levels) - slices.Min(levels) }
 
-// minPeriodTurns is how often demand goes from low to high or back in two periods at
-// least. A jump or a slow rise does so once, a single burst twice, and each is like
-// itself a while before.
-const minPeriodTurns = 3
+// minTransitions is the minimum number of transitions in two periods. A jump or a slow rise
+// has one, a single burst two.
+const minTransitions = 3
 
-// turns counts how often levels go from their lowest quarter to their highest or back.
-func turns(levels []float64) int {
+// transitions counts the changes between the lowest and the highest quarter of the levels.
+func transitions(levels []float64) int {
 	least, quarter := slices.Min(levels), swing(levels)/4
 	count, wasHigh, isKnown := 0, false, false
 	for _, level := range levels {
--- a/internal/batchcapacity/demand_test.go
+++ b/internal/batchcapacity/demand_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slots of the service in these tests; its online work is far below or near them.
+// slots is the number of slots of the service in these tests.
 const slots = 720
 
-// demandOf notes noisy demand for so long and returns it.
+// demandOf returns demand with noisy samples of level over a time span.
 func demandOf(level func(at time.Duration) float64, span time.Duration, seed uint64) *Demand {
 	demand, random := &Demand{}, rand.New(rand.NewPCG(1, seed))
 	start := time.Unix(0, 0)
@@ -24,7 +24,7 @@
 	return demand
 }
 
-// bursts alternates between two levels.
+// bursts returns a level that alternates between low and high.
 func bursts(low, high float64, period, burst time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at%period >= period-burst {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestRhythmIsFoundInBursts after two of their periods and a little, whatever they are.
-func TestRhythmIsFoundInBursts(t *testing.T) {
+// The period of bursts is detected after two periods and one second.
+func TestPeriodOfBurstsIsDetected(t *testing.T) {
 	for _, each := range []struct{ period, burst time.Duration }{
 		{5800 * time.Millisecond, 2400 * time.Millisecond}, {10 * time.Second, 4 * time.Second}, {3 * time.Second, time.Second},
 	} {
@@ -46,21 +46,21 @@
 	}
 }
 
-// TestForecastSeesTheNextBurst and the valley behind it.
-func TestForecastSeesTheNextBurst(t *testing.T) {
+// The forecast has the next burst and the valley after it.
+func TestForecastOfNextBurst(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 540, period, burst), 3*period, 1)
 	valley, isKnown := demand.Forecast(time.Second, 2*time.Second)
 	require.True(t, isKnown)
 	require.Less(t, valley, 200)
-	coming, _ := demand.Forecast(time.Second, 5*time.Second)
-	require.Greater(t, coming, 480)
+	expected, _ := demand.Forecast(time.Second, 5*time.Second)
+	require.Greater(t, expected, 480)
 	nextPeriod, _ := demand.Forecast(period+time.Second, period+2*time.Second)
 	require.Less(t, nextPeriod, 200)
 }
 
-// TestNoRhythmIsSeenWhereThereIsNone: noise, one jump, a slow rise, one burst.
-func TestNoRhythmIsSeenWhereThereIsNone(t *testing.T) {
+// Noise, a jump, a slow rise and a single burst aren't periodic.
+func TestNoPeriodIsDetectedWithoutOne(t *testing.T) {
 	for name, level := range map[string]func(time.Duration) float64{
 		"noise": func(time.Duration) float64 { return 400 },
 		"jump": func(at time.Duration) float64 {
@@ -85,41 +85,40 @@
 	}
 }
 
-// TestRhythmIsForgotten within a period and a half of its end.
-func TestRhythmIsForgotten(t *testing.T) {
+// The period is dropped at most one and a half periods after it ends.
+func TestEndedPeriodIsDropped(t *testing.T) {
 	const period, burst = 6 * time.Second, 2400 * time.Millisecond
-	rhythm := bursts(110, 540, period, burst)
+	periodic := bursts(110, 540, period, burst)
 	demand := demandOf(func(at time.Duration) float64 {
 		if at < 3*period {
-			return rhythm(at)
+			return periodic(at)
 		}
 		return 110
 	}, 3*period+period*3/2, 1)
 	require.Zero(t, demand.Period())
 }
 
-// TestMissedSamplesKeepTheTime: a daemon that stood still for a moment keeps the rhythm,
-// one that slept for long begins anew.
-func TestMissedSamplesKeepTheTime(t *testing.T) {
+// A short gap keeps the period, a long one resets it.
+func TestMissedSamples(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 540, period, burst), 3*period, 1)
 	after := time.Unix(0, 0).Add(3 * period)
 	demand.Note(Load{Slots: slots, Online: 110}, after.Add(2500*time.Millisecond))
-	coming, isKnown := demand.Forecast(2*time.Second, 3*time.Second)
+	expected, isKnown := demand.Forecast(2*time.Second, 3*time.Second)
 	require.True(t, isKnown)
-	require.Greater(t, coming, 480)
+	require.Greater(t, expected, 480)
 	demand.Note(Load{Slots: slots, Online: 110}, after.Add(time.Minute))
 	_, isKnown = demand.Forecast(0, time.Second)
 	require.False(t, isKnown)
 }
 
-// TestValleyIsWhereTheBurstEnds: from within a burst, and from the valley before it.
-func TestValleyIsWhereTheBurstEnds(t *testing.T) {
+// The valley begins at the end of a burst, seen from the burst and from the valley before it.
+func TestUntilValley(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
-	rhythm := bursts(110, 540, period, burst)
-	inBurst := demandOf(rhythm, 3*period-time.Second, 1)
+	periodic := bursts(110, 540, period, burst)
+	inBurst := demandOf(periodic, 3*period-time.Second, 1)
 	require.InDelta(t, 1, inBurst.UntilValley().Seconds(), 0.2)
-	before := demandOf(rhythm, 3*period-3*time.Second, 1)
+	before := demandOf(periodic, 3*period-3*time.Second, 1)
 	require.InDelta(t, 3, before.UntilValley().Seconds(), 0.2)
 	require.Zero(t, (&Demand{}).UntilValley())
 }
--- a/test/mutants.d/batchroom.sh
+++ b/test/mutants.d/batchroom.sh
@@ -1,19 +1,19 @@
 # Mutants of the room for batch items beside online requests; mutants.sh sources this.
 
 mutant batch_reserve internal/batchcapacity/capacity.go \
-	'Deferrable: sight.Load.freeSlots(reserve), Reserve' 'Deferrable: sight.Load.freeSlots(0), Reserve' internal/batchcapacity TestItemsThatCanWaitLeaveWhatRequestsNeed
+	'Deferrable: observed.Load.freeSlots(reserve), Reserve' 'Deferrable: observed.Load.freeSlots(0), Reserve' internal/batchcapacity TestReservePolicyKeepsSlotsFree
 mutant batch_rhythm_room internal/batchcapacity/capacity.go \
-	'decided.Deferrable = min(decided.Deferrable, deferrableSlots(sight))' '' internal/batchcapacity TestItemsThatCanWaitLeaveRoomForTheBurst
+	'decided.Deferrable = min(decided.Deferrable, deferrableSlots(observed))' '' internal/batchcapacity TestPeriodicPolicyKeepsSlotsForBurst
 mutant batch_rhythm_turns internal/batchcapacity/demand.go \
-	'turns(d.levels[end-2*lag:]) < minPeriodTurns' 'false' internal/batchcapacity TestNoRhythmIsSeenWhereThereIsNone
+	'transitions(d.levels[end-2*lag:]) < minTransitions' 'false' internal/batchcapacity TestNoPeriodIsDetectedWithoutOne
 mutant batch_missed_samples internal/batchcapacity/demand.go \
-	'for range missed {' 'for range 0 * missed {' internal/batchcapacity TestMissedSamplesKeepTheTime
+	'for range missed {' 'for range 0 * missed {' internal/batchcapacity TestMissedSamples
 mutant batch_backlog internal/batchcapacity/capacity.go \
-	'queued >= timing.Spare || ' '' internal/batchcapacity TestItemsWithTimeToSpareWait
+	'queued >= timing.Spare || ' '' internal/batchcapacity TestMustRun
 mutant batch_excess_room internal/batchcapacity/excess.go \
-	'load.Online+load.Batch+FreeSlotsNeeded(load)-load.Slots' 'load.Online+load.Batch' internal/batchcapacity TestItemsStayWhereRequestsFindPlaces
+	'load.Online+load.Batch+FreeSlotsNeeded(load)-load.Slots' 'load.Online+load.Batch' internal/batchcapacity TestNoExcessWithFreeSlots
 mutant batch_excess_rise internal/batchcapacity/excess.go \
-	'load.Online += sight.Demand.Rise(sight.Age)' '' internal/batchcapacity TestExcessIsWhatOnlineWorkHasRisenTo
+	'load.Online += observed.Demand.Rise(observed.Age)' '' internal/batchcapacity TestExcessFollowsOnlineRise
 mutant batch_gives_once internal/job/rooms.go \
 	'known.given < known.owed ||' 'known.owed > 0 ||' internal/job TestOwnersGiveTheirPartOfAnExcessOnce
 mutant batch_shortage_not_seen internal/job/rooms.go \
