--- a/internal/backend/admission_test.go
+++ b/internal/backend/admission_test.go
@@ -25,8 +25,9 @@
 	return isTaken
 }
 
-// Backends of an evacuated zone get no new work, including backends listed later and
-// requests with a reservation, until the zone is reopened.
+// TestEvacuatedZoneGetsNoNewWork checks that backends of an evacuated zone get no new
+// work, including backends listed later and requests with a reservation, until the zone is
+// reopened.
 func TestEvacuatedZoneGetsNoNewWork(t *testing.T) {
 	set := backend.NewSet()
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, Zone: "one"})
@@ -61,7 +62,8 @@
 	return set
 }
 
-// A cold backend gets no more than its allowance until it is warm.
+// TestColdBackendAllowance checks that a cold backend gets no more than its allowance
+// until it is warm.
 func TestColdBackendAllowance(t *testing.T) {
 	set := setWithColdLimit(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
@@ -79,7 +81,8 @@
 	require.True(t, isOpen(t, set, "a"), "the backend is warm by its entry")
 }
 
-// Backends of a reopened zone count as cold until their entries are up to date.
+// TestReopenedZoneIsCold checks that backends of a reopened zone count as cold until their
+// entries are up to date.
 func TestReopenedZoneIsCold(t *testing.T) {
 	set := setWithColdLimit(14)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, Zone: "one"})
@@ -95,7 +98,8 @@
 	require.LessOrEqual(t, taken, int(warmup.WindowAt(time.Now())-first+1))
 }
 
-// Without a configured rate, a cold backend gets any number of requests.
+// TestServiceWithoutColdRateIsUnlimited checks that without a configured rate, a cold
+// backend gets any number of requests.
 func TestServiceWithoutColdRateIsUnlimited(t *testing.T) {
 	set := setWithColdLimit(0)
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, ColdFor: time.Hour})
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -83,7 +83,7 @@
 	coldAllowance coldAllowance
 }
 
-// PeerLoad is another daemon's work in flight at a backend.
+// PeerLoad is one daemon's work in flight at a backend.
 type PeerLoad struct {
 	// StartMillis identifies the incarnation at which the work runs, as in Instance.
 	StartMillis   int64
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -29,7 +29,8 @@
 	return found[0]
 }
 
-// A lease counts its request until the first release, and further releases have no effect.
+// TestLeaseCountsUntilRelease checks that a lease counts its request until the first
+// release, and further releases have no effect.
 func TestLeaseCountsUntilRelease(t *testing.T) {
 	set := newSet()
 	lease, found := set.Acquire("a", backend.Online, prompt)
@@ -44,7 +45,8 @@
 	require.Zero(t, candidate(t, set).Online)
 }
 
-// Other daemons' loads count until they are replaced or the daemon is removed.
+// TestPeerLoadsAreCounted checks that other daemons' loads count until they are replaced
+// or the daemon is removed.
 func TestPeerLoadsAreCounted(t *testing.T) {
 	set := newSet()
 	set.SetPeerLoads("d1", map[string]backend.PeerLoad{"a": {Online: 2, Batch: 1, PendingTokens: 7}, "unknown": {Online: 9}}, 3)
@@ -59,7 +61,8 @@
 	require.Empty(t, set.OwnLoads(), "own loads must not include other daemons' loads")
 }
 
-// Reads of large parts are returned once, and reported reads expire.
+// TestPromptReadsArePublishedOnce checks that reads of large parts are returned once, and
+// reported reads expire.
 func TestPromptReadsArePublishedOnce(t *testing.T) {
 	set, other := newSet(), newSet()
 	_, _ = set.Acquire("a", backend.Online, prompt)
@@ -78,7 +81,7 @@
 	require.Equal(t, 5100, candidate(t, other).UncachedTokens, "the read is older than the prompt lifetime")
 }
 
-// Each ejection lasts longer than the one before.
+// TestFailuresEject checks that each ejection lasts longer than the one before.
 func TestFailuresEject(t *testing.T) {
 	set := newSet()
 	now := time.Now()
@@ -92,8 +95,8 @@
 	require.False(t, set.Candidates("s", nil, later.Add(time.Minute))[0].Ejected)
 }
 
-// Failures seen by several daemons eject a backend that also has successes. Rare
-// failures don't.
+// TestPeerFailuresEject checks that failures seen by several daemons eject a backend that
+// also has successes. Rare failures don't.
 func TestPeerFailuresEject(t *testing.T) {
 	sets := []*backend.Set{newSet(), newSet(), newSet(), newSet()}
 	now := time.Now()
@@ -111,7 +114,7 @@
 	}
 }
 
-// Removed backends are not listed and can't be acquired.
+// TestRetainAndRemove checks that removed backends are not listed and can't be acquired.
 func TestRetainAndRemove(t *testing.T) {
 	set := newSet()
 	set.Put(backend.Instance{ID: "b", Service: "s", Slots: 4})
@@ -124,7 +127,8 @@
 	require.False(t, found)
 }
 
-// After any sequence of changes each service lists its own backends, sorted by id.
+// TestServiceListsMatchEntries checks that after any sequence of changes each service
+// lists its own backends, sorted by id.
 func TestServiceListsMatchEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := backend.NewSet()
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -24,7 +24,8 @@
 	return candidates[0]
 }
 
-// A restart clears loads, reports, prompts and failures of the previous incarnation.
+// TestRestartClearsState checks that a restart clears loads, reports, prompts and failures
+// of the previous incarnation.
 func TestRestartClearsState(t *testing.T) {
 	set, now := NewSet(), time.Now()
 	prompt := []routing.PromptPart{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 10}}
@@ -53,7 +54,8 @@
 	require.EqualValues(t, 1, lease.Instance().StartMillis)
 }
 
-// Whatever is reported about an ended incarnation has no effect on its successor.
+// TestStaleReportsAreIgnored checks that whatever is reported about an ended incarnation
+// has no effect on its successor.
 func TestStaleReportsAreIgnored(t *testing.T) {
 	set, now := NewSet(), time.Now()
 	prompt := []routing.PromptPart{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 10}}
@@ -80,7 +82,8 @@
 	require.Equal(t, routing.Candidate{ID: "one", StartMillis: 2, Slots: 4, UncachedTokens: 110}, left)
 }
 
-// A stale entry doesn't list a removed backend again.
+// TestStaleEntryAfterRemoval checks that a stale entry doesn't list a removed backend
+// again.
 func TestStaleEntryAfterRemoval(t *testing.T) {
 	set := NewSet()
 	set.Put(instanceStartedAt(2))
@@ -92,7 +95,8 @@
 	require.Equal(t, 1, set.Count("s"))
 }
 
-// An entry without a start time is no new incarnation if the start time is known.
+// TestEntryWithoutStartTime checks that an entry without a start time is no new
+// incarnation if the start time is known.
 func TestEntryWithoutStartTime(t *testing.T) {
 	set := NewSet()
 	set.Put(instanceStartedAt(2))
@@ -109,7 +113,8 @@
 	require.Equal(t, "127.0.0.1:1", got.Address)
 }
 
-// A backend without a start time is one incarnation as long as it is listed.
+// TestBackendsWithoutStartTime checks that a backend without a start time is one
+// incarnation as long as it is listed.
 func TestBackendsWithoutStartTime(t *testing.T) {
 	set := NewSet()
 	require.Equal(t, ListingNew, set.Put(instanceStartedAt(0)))
@@ -122,17 +127,19 @@
 	require.Equal(t, ListingRestarted, set.Put(instanceStartedAt(3)), "an entry with a start time may be another process")
 }
 
-// The stored start times of removed backends are limited.
+// TestStartTimesAreBounded checks that the stored start times of removed backends are
+// limited.
 func TestStartTimesAreBounded(t *testing.T) {
-	remembered := newStartTimes()
+	startTimes := newStartTimes()
 	for index := range 3 * maxStartTimes {
-		remembered.record(Incarnation{ID: strconv.Itoa(index), StartMillis: 1})
+		startTimes.record(Incarnation{ID: strconv.Itoa(index), StartMillis: 1})
 	}
-	require.LessOrEqual(t, len(remembered.newer)+len(remembered.older), 2*maxStartTimes)
-	require.EqualValues(t, 1, remembered.newest(strconv.Itoa(3*maxStartTimes-1)))
+	require.LessOrEqual(t, len(startTimes.newer)+len(startTimes.older), 2*maxStartTimes)
+	require.EqualValues(t, 1, startTimes.newest(strconv.Itoa(3*maxStartTimes-1)))
 }
 
-// Loads at different incarnations aren't added: the later one's load counts.
+// TestPeerLoadsOfTwoIncarnations checks that loads at different incarnations aren't added:
+// the later one's load counts.
 func TestPeerLoadsOfTwoIncarnations(t *testing.T) {
 	old, current := PeerLoad{StartMillis: 1, Online: 3, Batch: 1}, PeerLoad{StartMillis: 2, Online: 1, PendingTokens: 5}
 	require.Equal(t, current, old.Plus(current))
@@ -159,8 +166,8 @@
 	isEnded bool
 }
 
-// In any order of entries and reports, the listed incarnation has the latest start time and
-// counts only its own requests.
+// TestReportsInAnyOrder checks that in any order of entries and reports, the listed
+// incarnation has the latest start time and counts only its own requests.
 func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &incarnationModel{set: NewSet(), peers: map[string]PeerLoad{}}
--- a/internal/backend/overload_test.go
+++ b/internal/backend/overload_test.go
@@ -26,8 +26,8 @@
 	return set
 }
 
-// An overload is signalled whether the online requests come from this or another daemon,
-// and not while there is a free slot.
+// TestOverloadSignal checks that an overload is signalled whether the online requests come
+// from this or another daemon, and not while there is a free slot.
 func TestOverloadSignal(t *testing.T) {
 	set := setWithItem(t)
 	_, _ = set.Acquire("one", backend.Online, nil)
@@ -43,8 +43,8 @@
 	require.True(t, isSignalled(set.Overloaded()))
 }
 
-// The release of a preempted item is published at once, so that no other owner preempts a
-// second one.
+// TestPreemptedItemIsPublished checks that the release of a preempted item is published at
+// once, so that no other owner preempts a second one.
 func TestPreemptedItemIsPublished(t *testing.T) {
 	set := backend.NewSet()
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 1})
@@ -56,7 +56,8 @@
 	require.True(t, isSignalled(set.Overloaded()))
 }
 
-// Batch items beyond the slots are no overload without online requests.
+// TestBatchAloneIsNoOverload checks that batch items beyond the slots are no overload
+// without online requests.
 func TestBatchAloneIsNoOverload(t *testing.T) {
 	set := setWithItem(t)
 	for range 3 {
--- a/internal/backend/preempt_test.go
+++ b/internal/backend/preempt_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A preemption goes to this daemon if it has an item at the backend, else to the other
-// daemons. None is queued for a removed backend.
+// TestPreemptionGoesToItemOwner checks that a preemption goes to this daemon if it has an
+// item at the backend, else to the other daemons. None is queued for a removed backend.
 func TestPreemptionGoesToItemOwner(t *testing.T) {
 	set := NewSet()
 	set.Put(Instance{ID: "one", Service: "s", Slots: 1})
@@ -25,7 +25,7 @@
 	require.Equal(t, map[string]int{"b": 2}, set.PeerBatch("one"))
 }
 
-// Preempt doesn't block when its queue is full.
+// TestPreemptDoesNotBlock checks that Preempt doesn't block when its queue is full.
 func TestPreemptDoesNotBlock(t *testing.T) {
 	set := NewSet()
 	set.Put(Instance{ID: "one", Service: "s", Slots: 1})
--- a/internal/backend/serviceload_test.go
+++ b/internal/backend/serviceload_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Requests beyond a backend's slots don't count, and neither do draining or ejected backends.
+// TestServiceLoadCountsUsableSlots checks that requests beyond a backend's slots don't
+// count, and neither do draining or ejected backends.
 func TestServiceLoadCountsUsableSlots(t *testing.T) {
 	set, now := NewSet(), time.Now()
 	set.Put(Instance{ID: "a", Service: "s", Slots: 4})
--- a/internal/backend/waiting_test.go
+++ b/internal/backend/waiting_test.go
@@ -10,8 +10,9 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// Queued requests count as on time, then as overdue, until Done. Freed slots count once, and
-// only for requests that had output. Peer stats are added until the daemon is removed.
+// TestQueueStats checks that queued requests count as on time, then as overdue, until
+// Done. Freed slots count once, and only for requests that had output. Peer stats are
+// added until the daemon is removed.
 func TestQueueStats(t *testing.T) {
 	set, now := backend.NewSet(), time.Now()
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 4})
--- a/internal/batchcapacity/capacity_test.go
+++ b/internal/batchcapacity/capacity_test.go
@@ -21,8 +21,9 @@
 	return Load{Backends: 90, Slots: slots, Online: online, Batch: batch}
 }
 
-// With much online work, deferrable items don't take the last free slots, and urgent items do.
-// Without online work no slot is kept free.
+// TestReservePolicyKeepsSlotsFree checks that with much online work, deferrable items
+// don't take the last free slots, and urgent items do. Without online work no slot is kept
+// free.
 func TestReservePolicyKeepsSlotsFree(t *testing.T) {
 	burst := fleet(540, 140)
 	for _, policy := range []Policy{PolicyFree, PolicyOnce} {
@@ -39,7 +40,8 @@
 	require.Equal(t, 8, decide(PolicyReserve, small, &Demand{}, itemTime).Deferrable)
 }
 
-// Before a burst only urgent items have capacity; after it, all items have.
+// TestPeriodicPolicyKeepsSlotsForBurst checks that before a burst only urgent items have
+// capacity; after it, all items have.
 func TestPeriodicPolicyKeepsSlotsForBurst(t *testing.T) {
 	const period, burst = 6 * time.Second, 2400 * time.Millisecond
 	periodic := bursts(110, 480, period, burst)
@@ -54,7 +56,8 @@
 	require.Greater(t, capacity.Deferrable, 50)
 }
 
-// Items that end before the next burst need not wait for it.
+// TestShortItemsRunBeforeBurst checks that items that end before the next burst need not
+// wait for it.
 func TestShortItemsRunBeforeBurst(t *testing.T) {
 	const period, burst = 6 * time.Second, 2400 * time.Millisecond
 	demand := demandOf(bursts(110, 540, period, burst), 2*period+time.Second, 1)
@@ -62,7 +65,8 @@
 	require.Greater(t, decide(PolicyPeriodic, load, demand, time.Second).Deferrable, 400)
 }
 
-// Items with enough spare time wait, unless the backlog is too long.
+// TestMustRun checks that items with enough spare time wait, unless the backlog is too
+// long.
 func TestMustRun(t *testing.T) {
 	const spare = 5 * time.Second
 	backlog := Backlog{Waiting: 60, MeanSlots: 240, ItemTime: itemTime}
@@ -72,7 +76,7 @@
 	require.True(t, MustRun(Timing{UntilDue: time.Minute, Remaining: 6 * time.Second, Spare: spare}, backlog))
 }
 
-// The mean is the same during a burst and in a valley.
+// TestMeanSlotsOverBursts checks that the mean is the same during a burst and in a valley.
 func TestMeanSlotsOverBursts(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 500, period, burst), 3*period, 1)
--- a/internal/batchcapacity/demand_test.go
+++ b/internal/batchcapacity/demand_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// The period of bursts is detected after two periods and one second.
+// TestPeriodOfBurstsIsDetected checks that the period of bursts is detected after two
+// periods and one second.
 func TestPeriodOfBurstsIsDetected(t *testing.T) {
 	for _, each := range []struct{ period, burst time.Duration }{
 		{5800 * time.Millisecond, 2400 * time.Millisecond}, {10 * time.Second, 4 * time.Second}, {3 * time.Second, time.Second},
@@ -46,7 +47,8 @@
 	}
 }
 
-// The forecast has the next burst and the valley after it.
+// TestForecastOfNextBurst checks that the forecast has the next burst and the valley after
+// it.
 func TestForecastOfNextBurst(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 540, period, burst), 3*period, 1)
@@ -59,7 +61,8 @@
 	require.Less(t, nextPeriod, 200)
 }
 
-// Noise, a jump, a slow rise and a single burst aren't periodic.
+// TestNoPeriodIsDetectedWithoutOne checks that noise, a jump, a slow rise and a single
+// burst aren't periodic.
 func TestNoPeriodIsDetectedWithoutOne(t *testing.T) {
 	for name, level := range map[string]func(time.Duration) float64{
 		"noise": func(time.Duration) float64 { return 400 },
@@ -85,7 +88,8 @@
 	}
 }
 
-// The period is dropped at most one and a half periods after it ends.
+// TestEndedPeriodIsDropped checks that the period is dropped at most one and a half
+// periods after it ends.
 func TestEndedPeriodIsDropped(t *testing.T) {
 	const period, burst = 6 * time.Second, 2400 * time.Millisecond
 	periodic := bursts(110, 540, period, burst)
@@ -98,7 +102,7 @@
 	require.Zero(t, demand.Period())
 }
 
-// A short gap keeps the period, a long one resets it.
+// TestMissedSamples checks that a short gap keeps the period, a long one resets it.
 func TestMissedSamples(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	demand := demandOf(bursts(110, 540, period, burst), 3*period, 1)
@@ -112,7 +116,8 @@
 	require.False(t, isKnown)
 }
 
-// The valley begins at the end of a burst, seen from the burst and from the valley before it.
+// TestUntilValley checks that the valley begins at the end of a burst, seen from the burst
+// and from the valley before it.
 func TestUntilValley(t *testing.T) {
 	const period, burst = 6 * time.Second, 2 * time.Second
 	periodic := bursts(110, 540, period, burst)
--- a/internal/batchcapacity/excess_test.go
+++ b/internal/batchcapacity/excess_test.go
@@ -11,7 +11,8 @@
 	return ExcessItems(Observation{Load: load, Demand: demand, Age: loadAge})
 }
 
-// No item is excess while requests find a free slot at another backend.
+// TestNoExcessWithFreeSlots checks that no item is excess while requests find a free slot
+// at another backend.
 func TestNoExcessWithFreeSlots(t *testing.T) {
 	require.Zero(t, excess(fleet(500, 140), &Demand{}))
 	require.Positive(t, excess(fleet(540, 140), &Demand{}))
@@ -20,7 +21,8 @@
 	require.Positive(t, excess(oneSlotEach, &Demand{}), "one slot per backend needs more free slots")
 }
 
-// A significant rise of online work since the load was observed adds to the excess.
+// TestExcessFollowsOnlineRise checks that a significant rise of online work since the load
+// was observed adds to the excess.
 func TestExcessFollowsOnlineRise(t *testing.T) {
 	rising := demandOf(func(at time.Duration) float64 { return 110 + 100*max(at.Seconds()-9, 0)*10 }, 9300*time.Millisecond, 1)
 	require.Zero(t, excess(fleet(310, 250), &Demand{}))
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -41,7 +41,7 @@
 	require.EqualValues(t, 5, holder.Current().Version())
 }
 
-// Evenly spread numbers select each target by its weight.
+// TestSplitByWeight checks that evenly spread numbers select each target by its weight.
 func TestSplitByWeight(t *testing.T) {
 	split := &route.Route{Targets: []route.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -18,8 +18,8 @@
 	return names
 }
 
-// The number of neighbors doesn't grow with the fleet: ten backends per daemon, sections of
-// 192 backends.
+// TestNeighborsAreBounded checks that the number of neighbors doesn't grow with the fleet:
+// ten backends per daemon, sections of 192 backends.
 func TestNeighborsAreBounded(t *testing.T) {
 	means := map[int]float64{}
 	for _, size := range []int{100, 1000, 2000} {
@@ -37,8 +37,8 @@
 	require.InDelta(t, means[1000], means[2000], 4)
 }
 
-// Daemons with overlapping sections are neighbors of each other, also across the end of the
-// ring.
+// TestDaemonsWithSharedBackendsAreNeighbors checks that daemons with overlapping sections
+// are neighbors of each other, also across the end of the ring.
 func TestDaemonsWithSharedBackendsAreNeighbors(t *testing.T) {
 	const width = 0.01
 	names := fleet(2000)
@@ -55,7 +55,8 @@
 	require.InDelta(t, 0.02, topology.RingDistance(0.99, 0.01), 1e-9)
 }
 
-// Ring positions are evenly spread for similar names.
+// TestRingPositionsAreSpread checks that ring positions are evenly spread for similar
+// names.
 func TestRingPositionsAreSpread(t *testing.T) {
 	tenths := make([]int, 10)
 	for _, name := range fleet(2000) {
@@ -69,7 +70,7 @@
 	}
 }
 
-// No upstream serves more than 32 daemons.
+// TestUpstreamCount checks that no upstream serves more than 32 daemons.
 func TestUpstreamCount(t *testing.T) {
 	require.Equal(t, 2, topology.UpstreamCount(0))
 	require.Equal(t, 2, topology.UpstreamCount(20))
@@ -77,7 +78,8 @@
 	require.Equal(t, 13, topology.UpstreamCount(394))
 }
 
-// The maximum is at most the fleet size and covers the expected deviation.
+// TestMaxDaemonsPerBackend checks that the maximum is at most the fleet size and covers
+// the expected deviation.
 func TestMaxDaemonsPerBackend(t *testing.T) {
 	require.Equal(t, 10, topology.MaxDaemonsPerBackend(1, 10))
 	require.Equal(t, 38, topology.MaxDaemonsPerBackend(0.0192, 986))
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -54,8 +54,8 @@
 	return most
 }
 
-// Daemons that use their whole allowance don't exceed the rate of cold backends, also during
-// a network partition.
+// TestColdRateIsNotExceeded checks that daemons that use their whole allowance don't
+// exceed the rate of cold backends, also during a network partition.
 func TestColdRateIsNotExceeded(t *testing.T) {
 	all := daemons(79)
 	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
@@ -67,7 +67,8 @@
 	}
 }
 
-// The allowances of all daemons add up to the assigned share of the rate.
+// TestColdRateIsUsed checks that the allowances of all daemons add up to the assigned
+// share of the rate.
 func TestColdRateIsUsed(t *testing.T) {
 	const windows, windowsPerSecond = 40, 4
 	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
@@ -78,7 +79,8 @@
 	require.InDelta(t, coldRate*0.6*windows/windowsPerSecond, total, 2)
 }
 
-// No daemon gets the allowances of many backends at once.
+// TestAllowanceIsSpreadOverDaemons checks that no daemon gets the allowances of many
+// backends at once.
 func TestAllowanceIsSpreadOverDaemons(t *testing.T) {
 	all := daemons(79)
 	first := warmup.WindowAt(time.Unix(1_700_000_000, 0))
