--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -138,7 +138,7 @@
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
-	'present.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
+	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
 mutant pass_false_promises platform/runner.go \
 	'case promises(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
 mutant no_answer_id platform/runner.go \
@@ -182,7 +182,7 @@
 mutant place_not_sent platform/runner.go \
 	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
-	'if isCrowded && known.batch > 0 {' 'if false {' internal/backend TestOwnerHearsAtOnceOfWaitingOnlineRequests
+	'if isOverloaded && known.batch > 0 {' 'if false {' internal/backend TestOverloadSignal
 mutant items_queue internal/job/pacing.go \
 	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsEnterNoFullService
 mutant no_pace internal/table/follower.go \
