--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -159,7 +159,7 @@
 	f.Core = serving.NewCore(f.Backends, sender, f.Holder, metrics.Serving, log, f.sharingDaemons)
 	f.Core.Wakeups = boottime.NewWakeups(nil, log)
 	f.Core.Zone = process.Zone
-	f.Core.Patience = responsetimeout.NewEstimates(responsetimeout.Mode(process.ResponseTimeouts))
+	f.Core.ResponseTimes = responsetimeout.NewEstimates(responsetimeout.Mode(process.ResponseTimeouts))
 	f.Core.OrdersWaiting = process.WaitingOrder == settings.WaitingOrderFleet
 	f.Core.Quarantine = f.Quarantine
 	f.limitFleet = ratelimit.NewClusterFleet(f.node, f.transport)
--- a/internal/runrecord/promise_test.go
+++ b/internal/runrecord/notrun_test.go
@@ -9,10 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyTheRecordPromises: where requests have been sent to backends, "not run"
-// is made by the record and by nothing else. Each path that made one of its own was
-// false after some sequence of attempts.
-func TestOnlyTheRecordPromises(t *testing.T) {
+// TestOnlyRecordMarksNotRun checks that, where requests are sent to backends, only the
+// record decides whether an answer says that the request has not run.
+func TestOnlyRecordMarksNotRun(t *testing.T) {
 	for file, word := range map[string]string{
 		"../gateway/generation.go": "WithNotRun",
 		"../engine/quarantine.go":  "WithNotRun",
@@ -28,7 +27,7 @@
 			total += occurrences(t, path, "VerdictNotRun") + occurrences(t, path, "VerdictQuarantined")
 		}
 	}
-	require.Equal(t, 2, total, "giveUp and refuseQuarantined, which both ask the record")
+	require.Equal(t, 2, total, "only giveUp and refuseQuarantined, which check the record")
 }
 
 func occurrences(t *testing.T, path, word string) int {
--- a/internal/runrecord/runrecord.go
+++ b/internal/runrecord/runrecord.go
@@ -1,36 +1,34 @@
-// Package runrecord keeps what is known of whether a request has run at backends. A
-// caller that is told that its request has not run sends it again; if that is not
-// true, the work is done twice. So the record is written where bytes leave for a
-// backend, and read where a caller is answered: both doors decide by it, and by
-// nothing else, whether they may say so.
+// Package runrecord records whether a request may have run at backends. Senders update the
+// record when they send an attempt; the answer to the caller may state that the request
+// has not run only if the record says so, because callers then send the request again.
 package runrecord
 
 import "topazpulley/internal/failure"
 
-// Record is what is known of one request. Its zero value tells that nothing has
-// been sent. It is used by one goroutine.
+// Record is the state of one request. Its zero value means that no attempt was sent. It is
+// used by one goroutine.
 type Record struct {
 	sent     int
 	neverRan int
 }
 
-// Sent notes that an attempt is about to leave for a backend. From now on the
-// request may have run, until NeverRan says otherwise.
+// Sent records that an attempt is about to be sent to a backend. The request may have run
+// from now on, unless NeverRan is called for the attempt.
 func (r *Record) Sent() { r.sent++ }
 
-// NeverRan notes that the attempt that was sent last did not run and never will:
-// no byte of it has left, or the backend said so.
+// NeverRan records that the attempt that was sent last did not run and never will: no byte
+// of it was sent, or the backend reported that it did not run.
 func (r *Record) NeverRan() {
 	if r.neverRan < r.sent {
 		r.neverRan++
 	}
 }
 
-// MayHaveRun reports whether some attempt may have run.
+// MayHaveRun reports whether any attempt may have run.
 func (r *Record) MayHaveRun() bool { return r.sent > r.neverRan }
 
-// MarkNotRun adds the promise that nothing has run to a failure, if that is true, and
-// leaves it as it is otherwise.
+// MarkNotRun marks a failure as not run unless an attempt may have run; then it returns
+// the failure unchanged.
 func (r *Record) MarkNotRun(failed *failure.Error) *failure.Error {
 	if r.MayHaveRun() {
 		return failed
@@ -38,12 +36,11 @@
 	return failed.WithNotRun()
 }
 
-// Refuse makes the failure of a request that is given up: the given one, with the
-// promise that nothing has run, if that is true, else one that promises nothing
-// and keeps the code.
+// Refuse returns the failure for a request that is given up: the given one marked as not
+// run, or, if an attempt may have run, one of KindOutcomeUnknown with the same code.
 func (r *Record) Refuse(refusal *failure.Error) *failure.Error {
 	if !r.MayHaveRun() {
 		return refusal.WithNotRun()
 	}
-	return failure.Wrap(refusal, failure.KindOutcomeUnknown, refusal.Code, "an attempt was sent and its outcome cannot be learnt; then: %s", refusal.Message)
+	return failure.Wrap(refusal, failure.KindOutcomeUnknown, refusal.Code, "an attempt was sent and its outcome is unknown; then: %s", refusal.Message)
 }
--- a/internal/runrecord/runrecord_test.go
+++ b/internal/runrecord/runrecord_test.go
@@ -10,14 +10,14 @@
 	"topazpulley/internal/failure"
 )
 
-// TestRecordIsTrue: whatever becomes of the attempts, the record tells that the
-// request may have run exactly if one attempt's end is not known to be "never ran".
-func TestRecordIsTrue(t *testing.T) {
+// TestMayHaveRunOverRandomAttempts checks that the record reports that a request may have
+// run exactly if at least one attempt is not known to have never run.
+func TestMayHaveRunOverRandomAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record, unknown := Record{}, 0
 		for range rapid.IntRange(0, 8).Draw(t, "attempts") {
 			record.Sent()
-			require.True(t, record.MayHaveRun(), "while it is under way")
+			require.True(t, record.MayHaveRun(), "while the attempt is running")
 			if rapid.Bool().Draw(t, "never ran") {
 				record.NeverRan()
 			} else {
--- a/internal/serving/admit.go
+++ b/internal/serving/admit.go
@@ -6,13 +6,14 @@
 	"topazpulley/internal/ratelimit"
 )
 
-// limit is the limit of the request's tenant.
+// limit returns the limit of the request's tenant.
 func (e *exchange) limit() ratelimit.Limit {
 	return ratelimit.Limit{Limit: e.request.Tenant.Limit, Config: e.request.ConfigVersion}
 }
 
-// admit passes the limit of the request's tenant, or refuses the request at once
-// and tells when there will be room.
+// admit checks the request against its tenant's limit. It refuses the request with the
+// time after which to retry if the limit is exceeded, and reports whether the request was
+// admitted.
 func (e *exchange) admit(ctx context.Context) bool {
 	if e.core.Limits == nil || e.request.Tenant == nil {
 		return true
@@ -26,11 +27,11 @@
 		e.outcome = "caller_gone"
 	}
 	e.core.Metrics.Requests.WithLabelValues(e.request.Service, e.outcome).Inc()
-	made := e.admission
+	decision := e.admission
 	e.core.Logger.Info("request_limited", "id", e.request.ID, "tenant", e.request.Tenant.Name, "outcome", e.outcome,
-		"per_second", e.request.Tenant.Limit.PerSecond, "burst", e.request.Tenant.Limit.Burst, "config", made.Config,
-		"source", string(made.Source), "keeper", made.Coordinator, "level", made.Level, "asked", made.Asked, "silent", made.Silent,
-		"retry_after_ms", made.RetryAfter.Milliseconds(), "took_ms", made.Took.Milliseconds())
+		"per_second", e.request.Tenant.Limit.PerSecond, "burst", e.request.Tenant.Limit.Burst, "config", decision.Config,
+		"source", string(decision.Source), "keeper", decision.Coordinator, "level", decision.Level, "asked", decision.Asked, "silent", decision.Silent,
+		"retry_after_ms", decision.RetryAfter.Milliseconds(), "took_ms", decision.Took.Milliseconds())
 	return false
 }
 
@@ -41,8 +42,9 @@
 	}
 }
 
-// settle gives the tenant back what a request was granted that never ran.
-func (e *exchange) settle() {
+// returnAdmission returns what the request was granted of its tenant's limit if the
+// request did not run.
+func (e *exchange) returnAdmission() {
 	if e.core.Limits != nil && e.request.Tenant != nil && !e.ran.MayHaveRun() {
 		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())
 	}
--- a/internal/serving/core.go
+++ b/internal/serving/core.go
@@ -18,62 +18,62 @@
 	"topazpulley/internal/telemetry"
 )
 
-// Core answers online requests. It is safe for concurrent use.
+// Core serves online requests. It is safe for concurrent use.
 type Core struct {
 	Backends *backend.Set
 	Sender   Sender
 	Holder   *route.Holder
 	Metrics  *telemetry.Serving
 	Logger   *slog.Logger
-	// Fleet returns the number of daemons that share the backends'
-	// connections.
+	// Fleet returns the number of daemons that share the backends' connections.
 	Fleet func() int
-	// Zone is the daemon's own; empty means that zones do not matter.
+	// Zone is the daemon's zone; empty disables zone preference.
 	Zone string
-	// Limits bounds the requests of tenants; nil means no bounds.
+	// Limits enforces the tenants' request limits; nil disables them.
 	Limits *ratelimit.Limiter
-	// Quarantine tells which requests are not sent to backends; nil means that all
-	// are. Sender asks it too: here it only saves a wait that must end in a refusal.
+	// Quarantine reports which requests are quarantined; nil disables the check. Sender
+	// also refuses such requests: the check here only avoids waits.
 	Quarantine *quarantine.Guard
-	// OrdersWaiting has requests that cannot be in time any more make way for those
-	// that can; false means that each waits for a place by itself.
+	// OrdersWaiting makes overdue requests yield to requests that can still be on time. If
+	// false, each request waits for a slot independently of others.
 	OrdersWaiting bool
-	// Clock counts the time for which the machine sleeps; nil means the system's.
+	// Clock includes time during which the machine was suspended; nil means the system
+	// clock.
 	Clock boottime.Clock
-	// Wakeups tells that the machine has slept; nil means that this is not noticed
+	// Wakeups reports resumes from suspension; nil means that a resume is not noticed
 	// while a request waits.
 	Wakeups *boottime.Wakeups
 
-	// Patience tells how long attempts may stay silent.
-	Patience *responsetimeout.Estimates
+	// ResponseTimes estimates response times, from which the response timeouts of attempts
+	// are derived.
+	ResponseTimes *responsetimeout.Estimates
 
 	retries *admission.RetryBudget
-	// silences bounds the attempts that are ended before their latest patience.
-	silences *admission.RetryBudget
-	mutex    sync.Mutex
-	random   *rand.Rand
+	// earlyEnds bounds the attempts that are ended before their latest response timeout.
+	earlyEnds *admission.RetryBudget
+	mutex     sync.Mutex
+	random    *rand.Rand
 }
 
 const (
-	// retryShare is the part of the requests that further attempts may add in
-	// the long run, and retryReserve what they may add at once, so that retries
-	// do not keep an overload going.
+	// retryShare is the number of retries per request in the long run, and retryReserve
+	// the burst beyond it. They keep retries from sustaining an overload.
 	retryShare   = 0.25
 	retryReserve = 100
 )
 
-// NewCore returns a core with its own source of randomness.
+// NewCore returns a core with its own random source.
 func NewCore(backends *backend.Set, sender Sender, holder *route.Holder, metrics *telemetry.Serving, log *slog.Logger, fleet func() int) *Core {
 	return &Core{
 		Backends: backends, Sender: sender, Holder: holder, Metrics: metrics, Logger: log, Fleet: fleet,
-		Patience: responsetimeout.NewEstimates(responsetimeout.ModeLearned),
-		retries:  admission.NewRetryBudget(retryShare, retryReserve),
-		silences: admission.NewRetryBudget(silenceShare, silenceReserve),
-		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ResponseTimes: responsetimeout.NewEstimates(responsetimeout.ModeLearned),
+		retries:       admission.NewRetryBudget(retryShare, retryReserve),
+		earlyEnds:     admission.NewRetryBudget(earlyEndShare, earlyEndReserve),
+		random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// Serve answers one request. The context ends when the caller leaves.
+// Serve serves one request. The context ends when the caller disconnects.
 func (c *Core) Serve(ctx context.Context, request Request, responder Responder) {
 	end := request.Arrived.Add(request.Route.Timeout)
 	if request.Deadline.Before(end) {
@@ -97,22 +97,22 @@
 		return
 	}
 	c.retries.Earn()
-	c.silences.Earn()
+	c.earlyEnds.Earn()
 	served.run(bounded)
-	served.settle()
+	served.returnAdmission()
 	served.record()
 }
 
-// giveWayCost is what a slot that a batch item has yet to leave costs a request
-// that preempts it, in milliseconds: two datagrams, the end of the item's
-// connection and the start of the request.
-const giveWayCost = 12
+// preemptCostMillis is the routing cost, in milliseconds, of a slot that a batch item has
+// to leave first: two datagrams, the end of the item's connection and the start of the
+// request.
+const preemptCostMillis = 12
 
-// doubtCost is what a backend without batch items costs a request that several
-// backends had no place for, in milliseconds: half of the wait for a slot.
-const doubtCost = 25
+// noBatchCostMillis is the routing cost, in milliseconds, of a backend without batch items
+// for a request that found no slot at several backends: half of the wait for a slot.
+const noBatchCostMillis = 25
 
-// choose picks a backend for the request and counts the request there.
+// choose picks a backend for the request and acquires a lease on it.
 func (c *Core) choose(request *Request, excluded map[string]bool, allowed preemption) (*backend.Lease, routing.Candidate, bool) {
 	chosen, found := c.pick(request, excluded, allowed)
 	if !found {
@@ -122,28 +122,28 @@
 	return lease, chosen, found
 }
 
-// pick picks a backend for the request. One that preempts finds room where
-// batch items run.
+// pick picks a backend for the request. If preemption is allowed, slots of batch items
+// count as available at a cost.
 func (c *Core) pick(request *Request, excluded map[string]bool, allowed preemption) (routing.Candidate, bool) {
 	candidates := c.Backends.Candidates(request.Service, request.Prompt, time.Now())
 	model := routing.DefaultCostModel()
 	model.Zone = c.Zone
 	if allowed != preemptNothing {
-		model.GiveWayMilliseconds = giveWayCost
+		model.GiveWayMilliseconds = preemptCostMillis
 	}
 	if allowed == preemptAnywhere {
-		model.DoubtMilliseconds = doubtCost
+		model.DoubtMilliseconds = noBatchCostMillis
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return routing.ChooseByCost(model, request.Prompt, candidates, excluded, c.random)
 }
 
-// spareDaemons is the reserve for daemons that join without being known yet.
+// spareDaemons reserves connections for daemons that joined and are not known yet.
 const spareDaemons = 2
 
-// ConnectionShare returns how many connections to one backend of the service
-// this daemon may hold.
+// ConnectionShare returns the maximum number of connections of this daemon to one backend
+// of the service.
 func (c *Core) ConnectionShare(service string) int {
 	current := c.Holder.Current()
 	if current == nil {
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -18,97 +18,102 @@
 )
 
 const (
-	// maxSends bounds how often one request is offered to backends that
-	// refuse it.
+	// maxSends bounds the attempts of one request, including those that backends refuse.
 	maxSends = 8
-	// refusalPause is the pause when all backends refuse.
+	// refusalPause is the pause before backends are tried again when all have refused.
 	refusalPause = 40 * time.Millisecond
-	// eventPatience is how long a resumable stream may pause.
-	eventPatience  = 1500 * time.Millisecond
+	// eventTimeout is the longest pause between the events of a resumable stream.
+	eventTimeout = 1500 * time.Millisecond
+	// retryAfterFull is the retry-after time when backends failed or refused the request,
+	// and retryAfterNone when none can be chosen.
 	retryAfterFull = 300 * time.Millisecond
 	retryAfterNone = 500 * time.Millisecond
-	// codeCrowded tells that others, who can be in time, need all places.
-	codeCrowded = "no_place_in_time"
-	// minimumRemaining is the least time for which an attempt is worth it.
-	minimumRemaining = 5 * time.Millisecond
+	// codeOverloaded means that requests that can be on time need all slots.
+	codeOverloaded = "no_place_in_time"
+	// minRemaining is the least remaining time for which an attempt is made.
+	minRemaining = 5 * time.Millisecond
 )
 
-// exchange is one request on its way. It is used by one goroutine.
+// exchange is the state of one request while it is served. It is used by one goroutine.
 type exchange struct {
 	core      *Core
 	request   Request
 	responder Responder
 	caller    context.Context
 	end       time.Time
-	// arrived is when the request came, by a clock that counts sleep too.
+	// arrived is the arrival time by a clock that includes suspension.
 	arrived boottime.Mark
 
+	// excluded are the ids of the backends that are not chosen for the next attempt.
 	excluded map[string]bool
 	sends    int
-	// runs counts the runs that the route's greatest number allows for; ran is what
-	// is known of whether any attempt ran.
-	runs  int
-	ran   runrecord.Record
-	begun bool
-	// fingerprint identifies the request's content whatever its id.
+	// runs counts the runs that count toward the route's maximum; ran records whether any
+	// attempt may have run.
+	runs     int
+	ran      runrecord.Record
+	hasBegun bool
+	// fingerprint identifies the request's content, independent of its id.
 	fingerprint quarantine.Fingerprint
 	lastEvent   int64
 	events      int
 	firstAt     time.Time
 
-	// unplaced counts the backends that had no place for the request, and waited
-	// is how long it waited for one since.
-	unplaced int
-	waited   time.Duration
-	// isBehind tells that the request is late and makes way for those in time.
-	isBehind bool
-	// turnedAway is when the caller should come back if the request gets no place; 0
-	// means that it goes on.
-	turnedAway time.Duration
-	// placedAt is when the last attempt had a place; zero means that it had none.
-	placedAt time.Time
-	// held is a place that was found after a wait and is not used yet.
-	held heldPlace
-	// isQueued tells that the request waits for no place any more, but in a backend's
-	// own queue.
+	// noSlotCount counts the backends that had no slot for the request; waited is the
+	// total time that it waited for a slot.
+	noSlotCount int
+	waited      time.Duration
+	// isDeprioritized is set when the request is overdue and yields to requests that can
+	// be on time.
+	isDeprioritized bool
+	// rejectRetryAfter is the retry-after time of a request that is rejected due to
+	// overload; 0 if it is not rejected.
+	rejectRetryAfter time.Duration
+	// reservedAt is when the last attempt was sent with a reservation; zero if it had
+	// none.
+	reservedAt time.Time
+	// reserved is a reservation made during the wait for a slot and not used yet.
+	reserved reservedSlot
+	// isQueued is set when the request no longer waits for a slot here but is sent to
+	// queue at a backend.
 	isQueued bool
 
-	// admission is what the request was granted of its tenant's limit.
+	// admission is the decision on the request's tenant limit.
 	admission ratelimit.Decision
 
 	// attemptedAt is when the last attempt began.
 	attemptedAt time.Time
 
+	// last is the backend of the last attempt, and cost its routing candidate.
 	last    backend.Instance
 	cost    routing.Candidate
 	reason  Reason
 	outcome string
 }
 
-// run sends attempts until the request has its final answer.
+// run makes attempts until the request has its final answer.
 func (e *exchange) run(ctx context.Context) {
 	for {
 		if e.refuseQuarantined() {
 			return
 		}
-		if e.mustAwaitPlace() {
-			e.awaitPlace(ctx)
+		if e.mustWaitForSlot() {
+			e.waitForSlot(ctx)
 		}
-		if e.turnedAway > 0 {
+		if e.rejectRetryAfter > 0 {
 			e.reason = ReasonNoSlot
-			e.giveUp(e.turnedAway, codeCrowded)
+			e.giveUp(e.rejectRetryAfter, codeOverloaded)
 			return
 		}
 		lease, chosen, found := e.target()
 		if !found {
-			if e.awaitRoom(ctx) {
+			if e.waitForBackend(ctx) {
 				continue
 			}
 			e.giveUp(retryAfterNone, "no_back_end")
 			return
 		}
 		e.last, e.cost = lease.Instance(), chosen
-		if e.held.name == "" {
+		if e.reserved.name == "" {
 			e.preempt()
 		}
 		err := e.attempt(ctx, lease)
@@ -116,11 +121,11 @@
 		if err == nil {
 			return
 		}
-		if isUnplaced(err) {
+		if isNoSlot(err) {
 			e.excluded[e.last.ID] = true
 			continue
 		}
-		if !e.mayGoOn(ctx, err) {
+		if !e.mayRetry(ctx, err) {
 			if e.refuseQuarantined() {
 				return
 			}
@@ -130,35 +135,33 @@
 	}
 }
 
-// target returns the backend to which the request goes next and counts it there.
+// target picks the backend for the next attempt and acquires a lease on it.
 func (e *exchange) target() (*backend.Lease, routing.Candidate, bool) {
-	if e.held.name == "" {
+	if e.reserved.name == "" {
 		return e.core.choose(&e.request, e.excluded, e.allowedPreemption())
 	}
-	candidate := e.held.candidate
+	candidate := e.reserved.candidate
 	lease, found := e.core.Backends.AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, backend.Online, e.request.Prompt)
 	if !found {
-		e.held = heldPlace{} // the backend left with the place, or started again without it
+		e.reserved = reservedSlot{} // the backend left or restarted: the reservation is lost
 	}
 	return lease, candidate, found
 }
 
-// awaitRoom waits a moment for backends when none can be chosen and reports
-// whether trying again makes sense.
-func (e *exchange) awaitRoom(ctx context.Context) bool {
-	if !e.begun && e.core.Backends.IsEvacuated(e.request.Service) {
-		return false // the operator's order stands for longer than a caller waits
+// waitForBackend pauses when no backend can be chosen and reports whether to try again.
+func (e *exchange) waitForBackend(ctx context.Context) bool {
+	if !e.hasBegun && e.core.Backends.IsEvacuated(e.request.Service) {
+		return false // an operator's evacuation outlasts a caller's wait
 	}
-	patience := e.request.Arrived.Add(e.request.Route.Objective)
+	latest := e.request.Arrived.Add(e.request.Route.Objective)
 	if len(e.excluded) == 0 {
-		// No backend is known at all: a caller that comes back soon does
-		// better than one that waits here.
-		patience = e.request.Arrived.Add(e.request.Route.Objective / 4)
+		// No backend is known: refuse early so that the caller can retry.
+		latest = e.request.Arrived.Add(e.request.Route.Objective / 4)
 	}
-	if e.begun {
-		patience = e.end
+	if e.hasBegun {
+		latest = e.end
 	}
-	if time.Now().After(patience) || e.runs >= e.request.Route.MaxAttempts {
+	if time.Now().After(latest) || e.runs >= e.request.Route.MaxAttempts {
 		return false
 	}
 	if !periodic.Sleep(ctx, refusalPause) {
@@ -168,17 +171,17 @@
 	return true
 }
 
-// remaining is how long the caller still waits. Time for which the machine slept
-// counts: for the caller it went by.
+// remaining returns the time until the caller's deadline, less the time during which the
+// machine was suspended.
 func (e *exchange) remaining() time.Duration {
 	return time.Until(e.end) - e.core.Clock.SleptSince(e.arrived)
 }
 
-// attempt sends the request to one backend. It returns nil when the request
-// has its final answer.
+// attempt sends the request to one backend. It returns nil when the request has its final
+// answer.
 func (e *exchange) attempt(ctx context.Context, lease *backend.Lease) error {
 	remaining := e.remaining()
-	if remaining < minimumRemaining {
+	if remaining < minRemaining {
 		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded}
 	}
 	attempt := Attempt{
@@ -187,17 +190,17 @@
 		Fields: e.request.Fields, Body: e.request.Body, Remaining: remaining, TimeLeft: e.remaining,
 		LastEvent: e.lastEvent, Stream: e.request.Route.Kind == route.KindStream,
 	}
-	if e.held.name != "" {
-		attempt.Reservation, e.held = e.held.name, heldPlace{}
+	if e.reserved.name != "" {
+		attempt.Reservation, e.reserved = e.reserved.name, reservedSlot{}
 	} else if err := e.reserve(ctx, &attempt); err != nil {
 		return err
 	}
-	e.placedAt = time.Time{}
+	e.reservedAt = time.Time{}
 	if attempt.Reservation != "" {
-		e.placedAt = time.Now()
+		e.reservedAt = time.Now()
 	}
 	attempt.Permit = func() error {
-		e.noteSent(&attempt)
+		e.logSent(&attempt)
 		return nil
 	}
 	e.sends++
@@ -213,28 +216,28 @@
 		if attemptError(err).Outcome == OutcomeNotRun {
 			e.ran.NeverRan()
 		}
-		e.noteFailure(err)
+		e.recordAttemptFailure(err)
 		return err
 	}
 	defer answer.Close()
-	if report, told := answer.Load(); told {
+	if report, found := answer.Load(); found {
 		e.core.Backends.RecordReport(e.last.Incarnation(), report, time.Now())
 	}
 	if answer.Head().Events && answer.Head().Successful() {
 		err = e.relay(answer, lease, watched)
 	} else {
-		err = e.passWhole(answer, lease, watched)
+		err = e.passComplete(answer, lease, watched)
 	}
 	if err != nil {
 		err = explain(watched, err)
-		e.noteFailure(err)
+		e.recordAttemptFailure(err)
 		return err
 	}
 	return nil
 }
 
-// explain names silence as the reason of a failure that a watchdog caused. An
-// attempt that never left has not run, whatever ended it.
+// explain replaces an error that the watchdog caused by one with ReasonSilent. An attempt
+// that was not sent keeps its error: it has not run.
 func explain(watched *watchdog.Watchdog, err error) error {
 	if !watched.Fired() || attemptError(err).Outcome == OutcomeNotRun {
 		return err
@@ -242,8 +245,9 @@
 	return &AttemptError{Outcome: OutcomeUnknown, Reason: ReasonSilent, Cause: err}
 }
 
-// noteFailure records a failed attempt against its backend.
-func (e *exchange) noteFailure(err error) {
+// recordAttemptFailure records a failed attempt against its backend, unless the caller has
+// disconnected.
+func (e *exchange) recordAttemptFailure(err error) {
 	failed := attemptError(err)
 	e.reason = failed.Reason
 	if e.caller.Err() != nil {
@@ -256,14 +260,14 @@
 }
 
 // RecordFailure records a failed attempt against the backend's health.
-func RecordFailure(backends *backend.Set, life backend.Incarnation, reason Reason, now time.Time) {
+func RecordFailure(backends *backend.Set, incarnation backend.Incarnation, reason Reason, now time.Time) {
 	switch reason {
 	case ReasonUnreachable:
-		backends.Unreachable(life, now)
+		backends.Unreachable(incarnation, now)
 	case ReasonBroken, ReasonCorrupt, ReasonSilent, ReasonError:
-		backends.Failed(life, now)
+		backends.Failed(incarnation, now)
 	case ReasonOtherInstance:
-		backends.RemoveIncarnation(life)
+		backends.RemoveIncarnation(incarnation)
 	}
 }
 
@@ -275,21 +279,20 @@
 	return &AttemptError{Outcome: OutcomeUnknown, Reason: ReasonBroken, Cause: err}
 }
 
-// mayGoOn decides after a failed attempt whether another backend may take the
-// request.
-func (e *exchange) mayGoOn(ctx context.Context, err error) bool {
+// mayRetry decides after a failed attempt whether the request is sent to another backend.
+func (e *exchange) mayRetry(ctx context.Context, err error) bool {
 	failed := attemptError(err)
 	e.reason = failed.Reason
 	e.excluded[e.last.ID] = true
-	if failed.Reason == ReasonSilent && e.core.Patience.PrefersOtherZones() {
+	if failed.Reason == ReasonSilent && e.core.ResponseTimes.PrefersOtherZones() {
 		e.avoidZone(e.last.Zone)
 	}
 	if failed.Outcome != OutcomeNotRun {
-		if e.counts(failed) {
+		if e.countsAsRun(failed) {
 			e.runs++
 		}
 	}
-	if failed.Reason == ReasonQuarantined || ctx.Err() != nil || e.sends >= maxSends || e.remaining() < minimumRemaining {
+	if failed.Reason == ReasonQuarantined || ctx.Err() != nil || e.sends >= maxSends || e.remaining() < minRemaining {
 		return false
 	}
 	isAllowed := failed.Outcome == OutcomeNotRun || (e.request.Route.Repeatable() && e.runs < e.request.Route.MaxAttempts)
@@ -306,9 +309,9 @@
 	return true
 }
 
-// counts reports whether a failed attempt counts against the greatest number
-// of attempts: one at a backend that has ended does not.
-func (e *exchange) counts(failed *AttemptError) bool {
+// countsAsRun reports whether a failed attempt counts toward the maximum number of
+// attempts. An attempt at a backend that is no longer listed does not.
+func (e *exchange) countsAsRun(failed *AttemptError) bool {
 	if failed.Reason != ReasonBroken {
 		return true
 	}
--- a/internal/serving/guarded.go
+++ b/internal/serving/guarded.go
@@ -13,30 +13,28 @@
 	"topazpulley/internal/quarantine"
 )
 
-// gatherTime is how long the runs that broke at one backend are gathered before
-// it is asked whether it lives: all of its connections break within
-// milliseconds when it ends.
+// gatherTime is how long runs that broke at one backend are collected before the backend
+// is checked. All connections of a process break within milliseconds when it exits.
 const gatherTime = 20 * time.Millisecond
 
-// LiveChecker is a Sender that can tell whether a backend's process has ended.
+// LiveChecker is a Sender that can check whether a backend's process has exited.
 type LiveChecker interface {
-	// HasEnded reports whether the backend's machine answers that nothing listens
-	// there any more. Silence is no such answer.
+	// HasEnded reports whether the backend's machine answers that nothing listens at its
+	// address. No answer counts as false.
 	HasEnded(ctx context.Context, attempt Attempt) bool
 }
 
-// GuardedSender is the one way by which requests reach backends: online requests
-// and batch items, first attempts, repeated and resumed ones, and questions for
-// places. It sends no request that is quarantined, and tells the guard which
-// requests were in flight at backends that ended and which came to a good end.
+// GuardedSender is the Sender through which all requests reach backends: online requests
+// and batch items, first attempts, retries, resumptions and reservations. It refuses
+// requests that are quarantined, and reports to the guard which requests were running at a
+// backend that crashed and which succeeded.
 type GuardedSender struct {
 	sender   Sender
 	guard    *quarantine.Guard
 	backends *backend.Set
 	log      *slog.Logger
 
-	// mutex guards broken: the runs that broke at lives of backends about which it is
-	// being found out whether they have ended.
+	// mutex guards broken: the runs that broke at each incarnation that is being checked.
 	mutex  sync.Mutex
 	broken map[backend.Incarnation][]quarantine.Run
 }
@@ -46,7 +44,8 @@
 	_ Reserver = (*GuardedSender)(nil)
 )
 
-// NewGuardedSender returns a sender that asks the guard.
+// NewGuardedSender returns a sender that refuses the requests that the guard has
+// quarantined.
 func NewGuardedSender(sender Sender, guard *quarantine.Guard, backends *backend.Set, log *slog.Logger) *GuardedSender {
 	return &GuardedSender{sender: sender, guard: guard, backends: backends, log: log, broken: map[backend.Incarnation][]quarantine.Run{}}
 }
@@ -58,7 +57,7 @@
 	}
 	answer, err := s.sender.Send(ctx, attempt)
 	if err != nil {
-		s.note(ctx, attempt, err, false)
+		s.recordBroken(ctx, attempt, err, false)
 		return nil, err
 	}
 	return &guardedAnswer{Answer: answer, sender: s, ctx: ctx, attempt: attempt}, nil
@@ -78,14 +77,15 @@
 
 // refuse returns an error if the request is quarantined.
 func (s *GuardedSender) refuse(attempt Attempt) error {
-	if _, isHeld := s.guard.Verdict(attempt.Fingerprint); !isHeld {
+	if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {
 		return nil
 	}
 	return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonQuarantined}
 }
 
-// note looks into an attempt that broke although nobody here ended it.
-func (s *GuardedSender) note(ctx context.Context, attempt Attempt, err error, hadOutput bool) {
+// recordBroken records a run that broke, unless its context has ended, and starts a check
+// of the backend if none is running. Without a LiveChecker it does nothing.
+func (s *GuardedSender) recordBroken(ctx context.Context, attempt Attempt, err error, hadOutput bool) {
 	if ctx.Err() != nil || attemptError(err).Reason != ReasonBroken {
 		return
 	}
@@ -93,44 +93,45 @@
 	if !canCheck {
 		return
 	}
-	life := attempt.Instance.Incarnation()
+	incarnation := attempt.Instance.Incarnation()
 	s.mutex.Lock()
-	_, isBeingChecked := s.broken[life]
-	s.broken[life] = append(s.broken[life], quarantine.Run{Fingerprint: attempt.Fingerprint, HadOutput: hadOutput})
+	_, isBeingChecked := s.broken[incarnation]
+	s.broken[incarnation] = append(s.broken[incarnation], quarantine.Run{Fingerprint: attempt.Fingerprint, HadOutput: hadOutput})
 	s.mutex.Unlock()
 	if !isBeingChecked {
 		go s.check(checker, attempt)
 	}
 }
 
-// check finds out whether a backend has ended, and if so tells the guard what
-// was in flight there.
+// check checks whether a backend has exited and, if so, reports the runs that broke there
+// to the guard.
 func (s *GuardedSender) check(checker LiveChecker, attempt Attempt) {
-	started, life := time.Now(), attempt.Instance.Incarnation()
+	started, incarnation := time.Now(), attempt.Instance.Incarnation()
 	time.Sleep(gatherTime)
 	bounded, cancel := context.WithTimeout(context.Background(), quarantine.LiveCheckTimeout)
 	defer cancel()
-	// Where the process has started again, its machine takes connections again.
-	hasEnded := checker.HasEnded(bounded, attempt) || s.backends.HasSuccessor(life)
+	// A restarted process accepts connections again: a successor also shows that this
+	// incarnation exited.
+	hasEnded := checker.HasEnded(bounded, attempt) || s.backends.HasSuccessor(incarnation)
 	s.mutex.Lock()
-	runs := s.broken[life]
-	delete(s.broken, life)
+	runs := s.broken[incarnation]
+	delete(s.broken, incarnation)
 	s.mutex.Unlock()
-	s.log.Info("backend_checked", "backend", life.ID, "born", life.StartMillis, "has_ended", hasEnded, "runs", len(runs), "took_ms", time.Since(started).Milliseconds())
+	s.log.Info("backend_checked", "backend", incarnation.ID, "born", incarnation.StartMillis, "has_ended", hasEnded, "runs", len(runs), "took_ms", time.Since(started).Milliseconds())
 	if !hasEnded {
 		return
 	}
-	s.backends.Unreachable(life, time.Now())
-	s.guard.Crashed(life.String(), runs)
+	s.backends.Unreachable(incarnation, time.Now())
+	s.guard.Crashed(incarnation.String(), runs)
 }
 
-// guardedAnswer watches how an answer ends.
+// guardedAnswer reports how an answer ends.
 type guardedAnswer struct {
 	Answer
 	sender  *GuardedSender
 	ctx     context.Context
 	attempt Attempt
-	// hadOutput tells that events have come.
+	// hadOutput is set once an event was received.
 	hadOutput bool
 }
 
@@ -138,7 +139,7 @@
 func (a *guardedAnswer) Body() ([]byte, error) {
 	body, err := a.Answer.Body()
 	if err != nil {
-		a.sender.note(a.ctx, a.attempt, err, a.hadOutput)
+		a.sender.recordBroken(a.ctx, a.attempt, err, a.hadOutput)
 		return nil, err
 	}
 	if a.Head().Successful() {
@@ -156,7 +157,7 @@
 	case errors.Is(err, io.EOF):
 		a.sender.guard.Succeeded(a.attempt.Fingerprint)
 	default:
-		a.sender.note(a.ctx, a.attempt, err, a.hadOutput)
+		a.sender.recordBroken(a.ctx, a.attempt, err, a.hadOutput)
 	}
 	return event, err
 }
--- a/internal/serving/guarded_test.go
+++ b/internal/serving/guarded_test.go
@@ -24,24 +24,25 @@
 	return quarantine.NewGuard(quarantinePolicy, nil, telemetry.NewQuarantine(prometheus.NewRegistry()), slog.New(slog.DiscardHandler))
 }
 
-// ending is a sender whose backends end under one target and answer others.
-type ending struct {
+// crashSender is a sender whose backends crash on requests for one target and answer
+// others.
+type crashSender struct {
 	script
 	culprit string
-	ended   map[string]bool
+	crashed map[string]bool
 }
 
-func (s *ending) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
+func (s *crashSender) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
 	s.mutex.Lock()
-	isEnded := s.ended[attempt.Instance.ID]
+	hasCrashed := s.crashed[attempt.Instance.ID]
 	isCulprit := attempt.Target == s.culprit
-	if isCulprit && !isEnded {
-		s.ended[attempt.Instance.ID] = true
+	if isCulprit && !hasCrashed {
+		s.crashed[attempt.Instance.ID] = true
 		s.runs++
 	}
 	s.mutex.Unlock()
 	switch {
-	case isEnded:
+	case hasCrashed:
 		return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonUnreachable}
 	case isCulprit:
 		return nil, &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
@@ -49,13 +50,13 @@
 	return s.script.Send(ctx, attempt)
 }
 
-func (s *ending) HasEnded(_ context.Context, attempt serving.Attempt) bool {
+func (s *crashSender) HasEnded(_ context.Context, attempt serving.Attempt) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.ended[attempt.Instance.ID]
+	return s.crashed[attempt.Instance.ID]
 }
 
-// newGuardedCore is a core with many backends behind a guarded sender.
+// newGuardedCore returns a core with the given number of backends and a guarded sender.
 func newGuardedCore(sender serving.Sender, guard *quarantine.Guard, count int) *serving.Core {
 	backends := backend.NewSet()
 	for index := range count {
@@ -77,46 +78,46 @@
 	return serving.Request{ID: id, Method: "GET", Target: target, Route: policy, Service: "s", Arrived: now, Deadline: now.Add(time.Second)}
 }
 
-// TestQuarantinedRequestIsNeverSent: not at the first try, not as a retry within
-// the call in which the last backend ended, and not when it comes again.
-func TestQuarantinedRequestIsNeverSent(t *testing.T) {
+// TestQuarantinedRequestNotSent checks that a quarantined request is not sent: neither as
+// a retry within the call in which the last backend crashed nor in later calls.
+func TestQuarantinedRequestNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sender := &ending{culprit: "/culprit", ended: map[string]bool{}}
+		sender := &crashSender{culprit: "/culprit", crashed: map[string]bool{}}
 		sender.ran, sender.lastSeen = map[string]bool{}, &recorder{}
 		core := newGuardedCore(sender, newGuard(), 20)
 		for number := range 10 {
-			told := &recorder{}
+			caller := &recorder{}
 			before := sender.runs
-			core.Serve(t.Context(), safeRequest(fmt.Sprint("r", number), "/culprit"), told)
+			core.Serve(t.Context(), safeRequest(fmt.Sprint("r", number), "/culprit"), caller)
 			time.Sleep(100 * time.Millisecond)
-			require.Len(t, told.refusals, 1)
+			require.Len(t, caller.refusals, 1)
 			if sender.runs > before {
-				require.Equal(t, serving.VerdictUnknown, told.refusals[0].Verdict, "it ran in this call")
+				require.Equal(t, serving.VerdictUnknown, caller.refusals[0].Verdict, "it ran in this call")
 				continue
 			}
-			require.Equal(t, serving.VerdictQuarantined, told.refusals[0].Verdict)
-			require.Greater(t, told.refusals[0].RetryAfter, quarantinePolicy.Time-time.Minute)
+			require.Equal(t, serving.VerdictQuarantined, caller.refusals[0].Verdict)
+			require.Greater(t, caller.refusals[0].RetryAfter, quarantinePolicy.Time-time.Minute)
 		}
-		require.LessOrEqual(t, sender.runs, 2*quarantinePolicy.Crashes-1, "one call that had begun goes on at most")
-		told := &recorder{}
-		core.Serve(t.Context(), safeRequest("other", "/other"), told)
-		require.Equal(t, 1, told.whole, "others are served")
+		require.LessOrEqual(t, sender.runs, 2*quarantinePolicy.Crashes-1, "only one call that began before the quarantine may continue")
+		caller := &recorder{}
+		core.Serve(t.Context(), safeRequest("other", "/other"), caller)
+		require.Equal(t, 1, caller.complete, "others are served")
 	})
 }
 
-// TestGuardedSenderRefusesWhateverTheWay: a caller that does not ask the guard
-// itself, and questions for places.
-func TestGuardedSenderRefusesWhateverTheWay(t *testing.T) {
-	sender := &ending{culprit: "none", ended: map[string]bool{}}
+// TestGuardedSenderRefusesQuarantined checks that the sender itself refuses quarantined
+// requests and their reservations, if its caller does not check for quarantine.
+func TestGuardedSenderRefusesQuarantined(t *testing.T) {
+	sender := &crashSender{culprit: "none", crashed: map[string]bool{}}
 	sender.ran, sender.lastSeen = map[string]bool{}, &recorder{}
 	guard, backends := newGuard(), backend.NewSet()
 	guarded := serving.NewGuardedSender(sender, guard, backends, slog.New(slog.DiscardHandler))
-	held := quarantine.FingerprintOf("POST", "/culprit", "", nil)
-	attempt := serving.Attempt{Fingerprint: held, Target: "/culprit", Remaining: time.Second, Instance: backend.Instance{ID: "b"}}
+	fingerprint := quarantine.FingerprintOf("POST", "/culprit", "", nil)
+	attempt := serving.Attempt{Fingerprint: fingerprint, Target: "/culprit", Remaining: time.Second, Instance: backend.Instance{ID: "b"}}
 	_, err := guarded.Send(t.Context(), attempt)
 	require.NoError(t, err)
 	for number := range quarantinePolicy.Crashes {
-		guard.Crashed(fmt.Sprint("i", number), []quarantine.Run{{Fingerprint: held}})
+		guard.Crashed(fmt.Sprint("i", number), []quarantine.Run{{Fingerprint: fingerprint}})
 	}
 	sends := sender.sends
 	_, err = guarded.Send(t.Context(), attempt)
@@ -127,5 +128,5 @@
 	_, err = guarded.Reserve(t.Context(), serving.Reservation{Attempt: attempt, Tokens: 10})
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, sends, sender.sends)
-	require.Zero(t, sender.asked)
+	require.Zero(t, sender.reserveCalls)
 }
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -11,8 +11,8 @@
 	"topazpulley/internal/watchdog"
 )
 
-// passWhole reads an answer to its end before the caller sees any of it.
-func (e *exchange) passWhole(answer Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
+// passComplete reads a complete answer before it passes any of it to the caller.
+func (e *exchange) passComplete(answer Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
 	head := answer.Head()
 	body, err := answer.Body()
 	watched.Stop()
@@ -20,17 +20,17 @@
 		return err
 	}
 	lease.Started()
-	freeBackend(answer, lease)
+	releaseBackend(answer, lease)
 	if !head.Successful() && e.mayRepeatFailure(head) {
 		return &AttemptError{Outcome: OutcomeFailed, Reason: ReasonError}
 	}
-	if e.begun {
+	if e.hasBegun {
 		return &AttemptError{Outcome: OutcomeFailed, Reason: ReasonError}
 	}
 	e.runs++
 	if head.Successful() {
 		e.core.Backends.Succeeded(e.last.Incarnation(), time.Now())
-		e.noteAnswered(responsetimeout.KindComplete)
+		e.observeResponseTime(responsetimeout.KindComplete)
 	}
 	e.firstAt = time.Now()
 	e.outcome = "served"
@@ -46,30 +46,31 @@
 	return nil
 }
 
-// freeBackend gives up what is held at a backend whose answer was read to its end,
-// before its caller has: one who reads nothing would hold a place until it is cut.
-func freeBackend(answer Answer, lease *backend.Lease) {
+// releaseBackend releases the connection and the lease once the answer is read in full.
+// Otherwise a caller that reads slowly would occupy a slot.
+func releaseBackend(answer Answer, lease *backend.Lease) {
 	answer.Detach()
 	lease.Release()
 }
 
-// isBackendFault tells a backend's own failures from those of requests that
-// ran out of time.
+// isBackendFault reports whether a status is a failure of the backend. A gateway timeout
+// is not: the request ran out of time.
 func isBackendFault(status int) bool {
 	return status >= 500 && status != gatewayTimeout
 }
 
-// gatewayTimeout is a backend's answer to a request whose time is over.
+// gatewayTimeout is the status with which a backend answers a request whose time has run
+// out.
 const gatewayTimeout = 504
 
-// mayRepeatFailure reports whether a backend's own failure is tried again
-// elsewhere and not passed on.
+// mayRepeatFailure reports whether a request that the backend failed is retried at another
+// backend instead of passing the failure on.
 func (e *exchange) mayRepeatFailure(head Head) bool {
 	isServerFault := head.Status >= 500
-	return isServerFault && e.request.Route.Repeatable() && e.runs+1 < e.request.Route.MaxAttempts && e.remaining() > minimumRemaining
+	return isServerFault && e.request.Route.Repeatable() && e.runs+1 < e.request.Route.MaxAttempts && e.remaining() > minRemaining
 }
 
-// relay passes events on as they come.
+// relay passes events to the caller as they arrive.
 func (e *exchange) relay(answer Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
 	for isFirst := true; ; isFirst = false {
 		event, err := answer.Next()
@@ -84,7 +85,7 @@
 		}
 		watched.Feed()
 		if isFirst {
-			e.noteAnswered(responsetimeout.KindFirstEvent)
+			e.observeResponseTime(responsetimeout.KindFirstEvent)
 		}
 		lease.Started()
 		if err := e.passEvent(answer, event); err != nil {
@@ -103,21 +104,21 @@
 	return e.responder.Event(event.Raw)
 }
 
-// begin sends the head once: a resumed stream keeps the first one.
+// begin sends the head to the caller once. A resumed stream keeps its first head.
 func (e *exchange) begin(answer Answer) error {
-	if e.begun {
+	if e.hasBegun {
 		return nil
 	}
-	e.begun = true
+	e.hasBegun = true
 	e.firstAt = time.Now()
-	if !e.placedAt.IsZero() {
-		e.core.Backends.ObserveFirstOutput(e.request.Service, e.firstAt.Sub(e.placedAt))
+	if !e.reservedAt.IsZero() {
+		e.core.Backends.ObserveFirstOutput(e.request.Service, e.firstAt.Sub(e.reservedAt))
 	}
 	return e.responder.Begin(answer.Head())
 }
 
 func (e *exchange) finish(answer Answer, lease *backend.Lease) error {
-	freeBackend(answer, lease)
+	releaseBackend(answer, lease)
 	e.runs++
 	e.core.Backends.Succeeded(e.last.Incarnation(), time.Now())
 	e.outcome = "served"
--- a/internal/serving/request.go
+++ b/internal/serving/request.go
@@ -1,7 +1,7 @@
-// Package serving is the core that answers one online request: it chooses backends,
-// sends attempts, retries and resumes where that is allowed, and decides
-// what the caller is told. It knows no protocol: callers stand behind
-// Responder, backends behind Sender.
+// Package serving implements the core that serves one online request: it chooses backends,
+// makes attempts, retries and resumes where that is allowed, and decides the answer to the
+// caller. It is independent of protocols: Responder is the interface to the caller and
+// Sender the interface to backends.
 package serving
 
 import (
@@ -24,9 +24,9 @@
 
 // Request is one caller's request, read in full.
 type Request struct {
-	// ID is the caller's; every attempt at a backend carries it.
+	// ID is chosen by the caller; every attempt carries it.
 	ID string
-	// Caller is the address of the connection on which the request came, for logs.
+	// Caller is the remote address of the caller's connection, for logs.
 	Caller string
 	Method string
 	// Target is the request target as the caller sent it.
@@ -35,29 +35,28 @@
 	Fields []Field
 	Body   []byte
 	Route  *route.Route
-	// Tenant is who calls; nil where nobody has to say so.
+	// Tenant is the calling tenant; nil where callers need not authenticate.
 	Tenant *tenant.Tenant
 	// ConfigVersion is the version of the configuration that Route is from.
 	ConfigVersion int64
-	// Service is where the route sends this request.
+	// Service is the service that the route selected for the request.
 	Service string
-	// Prompt is the parts of the prompt in order; empty for plain services.
+	// Prompt is the parts of the prompt in order; empty for services without prompts.
 	Prompt []routing.PromptPart
-	// Tokens is the size of the prompt and the longest output together; 0 means
-	// unknown.
+	// Tokens is the size of the prompt plus the maximum output; 0 means unknown.
 	Tokens  int
 	Arrived time.Time
-	// ArrivedMark is Arrived by a clock that counts sleep too; zero means the moment
-	// at which it is served.
+	// ArrivedMark is Arrived by a clock that includes suspension; zero means the time at
+	// which Serve is called.
 	ArrivedMark boottime.Mark
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// LastEvent is the last event of the stream that the caller has; 0 means
-	// that it has none.
+	// LastEvent is the last event of the stream that the caller has received; 0 means
+	// none.
 	LastEvent int64
 }
 
-// tenantName is the name that backends are told; empty means none.
+// tenantName returns the tenant's name as sent to backends; empty means none.
 func (r *Request) tenantName() string {
 	if r.Tenant == nil {
 		return ""
@@ -65,7 +64,7 @@
 	return r.Tenant.Name
 }
 
-// fingerprint identifies the request's content whatever its id.
+// fingerprint identifies the request's content, independent of its id.
 func (r *Request) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(r.Method, r.Target, r.tenantName(), r.Body)
 }
@@ -73,49 +72,45 @@
 // Attempt is one dispatch of a request to a backend.
 type Attempt struct {
 	Instance backend.Instance
-	// Tenant is the name of the tenant for which the request is made; empty means
-	// none.
+	// Tenant is the name of the tenant; empty means none.
 	Tenant string
 	// MaxConnections bounds this daemon's connections to the backend.
 	MaxConnections int
 	ID             string
-	// Fingerprint identifies the request's content whatever its id.
+	// Fingerprint identifies the request's content, independent of its id.
 	Fingerprint quarantine.Fingerprint
 	Method      string
 	Target      string
 	Host        string
 	Fields      []Field
 	Body        []byte
-	// Remaining is how long the backend may work.
+	// Remaining is the time within which the backend has to answer.
 	Remaining time.Duration
-	// TimeLeft tells how long that is at the moment at which it is called: the machine
-	// may have slept, or a connection may have taken its time, since Remaining was set.
-	// Nil means that it does not change.
+	// TimeLeft returns the current value of Remaining, which changes while a connection is
+	// made or the machine is suspended. Nil means that Remaining is final.
 	TimeLeft func() time.Duration
-	// LastEvent asks a stream to go on behind this event; 0 means from the
-	// start.
+	// LastEvent is the event after which a stream resumes; 0 means from the start.
 	LastEvent int64
-	// Stream tells that the answer is a series of events.
+	// Stream is set if the answer is expected to be a series of events.
 	Stream bool
-	// Reservation names a place that was set aside at the backend; empty means none.
+	// Reservation names the reservation at the backend; empty means none.
 	Reservation string
-	// Permit is asked once the connection is there, just before the first byte leaves;
-	// an error, which is an *AttemptError, takes the attempt back. Nil permits it.
+	// Permit is called once the connection is made, just before the first byte is sent. An
+	// error, which is an *AttemptError, cancels the attempt. Nil permits it.
 	Permit func() error
 }
 
-// CheckSendable returns an error, which is an *AttemptError, if the attempt must not reach
-// its backend any more: who asked for it has left, its time is over, or its permit
-// is refused. It also brings what is left of its time up to date. Connections are
-// made, and processes wait for a processor, between the decision to send and the first
-// byte.
+// CheckSendable returns an error, which is an *AttemptError, if the attempt must no longer
+// be sent: its context has ended, its time has run out, or its permit is refused. It also
+// updates Remaining. Senders call it just before the first byte, since time passes while a
+// connection is made.
 func (a *Attempt) CheckSendable(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded, Cause: ctx.Err()}
 	}
 	if a.TimeLeft != nil {
 		a.Remaining = min(a.Remaining, a.TimeLeft())
-		if a.Remaining < minimumRemaining {
+		if a.Remaining < minRemaining {
 			return &AttemptError{Outcome: OutcomeNotRun, Reason: ReasonRequestEnded}
 		}
 	}
@@ -125,95 +120,95 @@
 	return a.Permit()
 }
 
-// Head is the beginning of an answer.
+// Head is the status and header of an answer.
 type Head struct {
 	Status int
 	Fields []Field
-	// Signed tells that the backend signed the answer.
+	// Signed is set if the backend signed the answer.
 	Signed bool
-	// Events tells that the body is a series of events.
+	// Events is set if the body is a series of events.
 	Events bool
 }
 
-// Successful reports whether the status is one of success.
+// Successful reports whether the status is a success.
 func (h Head) Successful() bool { return h.Status >= 200 && h.Status < 300 }
 
-// Event is one whole event of a stream.
+// Event is one complete event of a stream.
 type Event struct {
-	// ID rises by one from event to event.
+	// ID increases by one from event to event.
 	ID int64
-	// Raw is the event as the backend sent it, its empty line included. It is
-	// valid until the next call.
+	// Raw is the event as the backend sent it, including its empty line. It is valid until
+	// the next call.
 	Raw []byte
-	// Data is the event's data without the line's name. It is valid until the
-	// next call.
+	// Data is the event's data without the field name. It is valid until the next call.
 	Data []byte
 }
 
-// Answer is a backend's answer whose head has come.
+// Answer is a backend's answer whose head has been read.
 type Answer interface {
 	Head() Head
-	// Load returns what the backend told of its load.
+	// Load returns the load that the backend reported with the answer.
 	Load() (backend.Report, bool)
 	// Body reads the rest of an answer that is not a series of events.
 	Body() ([]byte, error)
-	// Next returns the next event, or io.EOF behind the last one of a stream
-	// that ended as complete.
+	// Next returns the next event, or io.EOF after the last event of a stream that ended
+	// as complete.
 	Next() (Event, error)
-	// Detach gives the connection to the backend back, and the answer up if it has not
-	// ended. What was read of it stays.
+	// Detach releases the connection to the backend and aborts the answer if it has not
+	// ended. What was read remains valid.
 	Detach()
-	// Close gives the answer up if it has not ended; the backend then stops. What was
-	// read of it counts as held no more.
+	// Close aborts the answer if it has not ended, which stops the backend's work. What
+	// was read no longer counts as memory in use.
 	Close()
 }
 
-// Sender sends attempts to backends. An error is an *AttemptError. The answer
-// is given up when the context ends.
+// Sender sends attempts to backends. An error is an *AttemptError. The answer is aborted
+// when the context ends.
 type Sender interface {
 	Send(ctx context.Context, attempt Attempt) (Answer, error)
 }
 
 // Connector is a Sender that keeps connections to backends.
 type Connector interface {
-	// Connected returns the lives of backends to which an idle connection is open.
+	// Connected returns the backend incarnations to which an idle connection is open.
 	Connected() map[backend.Incarnation]bool
 }
 
-// Responder is the caller's side of a request. One of Whole, Refuse, Finish
-// and Abort ends it; Begin and Event come before Finish or Abort.
+// Responder sends the answer to the caller. Exactly one of Whole, Refuse, Finish and Abort
+// ends it; Begin and Event precede Finish or Abort.
 type Responder interface {
+	// Begin sends the head of a stream, Event one event, and Finish the end.
 	Begin(head Head) error
 	Event(raw []byte) error
 	Finish() error
+	// Whole sends a complete answer that is not a stream.
 	Whole(head Head, body []byte) error
+	// Refuse sends an answer of the daemon's own.
 	Refuse(refusal Refusal) error
-	// Abort closes the connection so that the answer cannot look complete.
+	// Abort closes the connection so that the answer is not taken for a complete one.
 	Abort()
 }
 
-// Outcome says what is known of an attempt that gave no answer.
+// Outcome says whether an attempt without an answer ran.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of attempts without an answer.
 const (
-	// OutcomeNotRun tells that the backend did not run the request and never
-	// will.
+	// OutcomeNotRun means that the backend did not run the request and never will.
 	OutcomeNotRun Outcome = iota
-	// OutcomeFailed tells that the backend ran the request and failed.
+	// OutcomeFailed means that the backend ran the request and failed.
 	OutcomeFailed
-	// OutcomeUnknown tells that the request was sent and that its end cannot
-	// be learnt.
+	// OutcomeUnknown means that the request was sent and its outcome is unknown.
 	OutcomeUnknown
 )
 
-// String returns the name that logs carry.
+// String returns the name used in logs.
 func (o Outcome) String() string { return [...]string{"not_run", "failed", "unknown"}[o] }
 
 // Reason says why an attempt gave no answer.
 type Reason string
 
-// The reasons.
+// The reasons for which attempts give no answer.
 const (
 	ReasonUnreachable   Reason = "unreachable"
 	ReasonRefused       Reason = "refused"
@@ -224,21 +219,19 @@
 	ReasonSilent        Reason = "silent"
 	ReasonRequestEnded  Reason = "ended"
 	ReasonError         Reason = "error"
-	// ReasonNoSlot tells that the backend set no place aside.
+	// ReasonNoSlot means that the backend made no reservation.
 	ReasonNoSlot Reason = "no_place"
-	// ReasonPermitRefused tells that the permit to send was refused.
+	// ReasonPermitRefused means that Permit refused the attempt.
 	ReasonPermitRefused Reason = "withheld"
-	// ReasonMalformed tells that the attempt cannot be written as one request.
+	// ReasonMalformed means that the attempt cannot be written as one request.
 	ReasonMalformed Reason = "malformed"
-	// ReasonQuarantined tells that backends have ended under the request, so that
-	// no further one is sent it.
+	// ReasonQuarantined means that the request crashed backends and is not sent to others.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonBudget tells that a further attempt was allowed but for the bound
-	// on retries.
+	// ReasonBudget means that a further attempt was allowed but the retry budget is spent.
 	ReasonBudget Reason = "retry_budget_spent"
 )
 
-// AttemptError tells why an attempt gave no answer.
+// AttemptError is the error of an attempt that gave no answer.
 type AttemptError struct {
 	Outcome Outcome
 	Reason  Reason
@@ -257,49 +250,51 @@
 // Unwrap returns the cause, or nil.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// Verdict is what a caller is told when no backend's answer is passed on.
+// Verdict is the daemon's own answer to a caller, given when no backend's answer is passed
+// on.
 type Verdict uint8
 
 // The verdicts.
 const (
 	// VerdictNotRun promises that the request did not run and never will.
 	VerdictNotRun Verdict = iota
-	// VerdictUnknown promises nothing.
+	// VerdictUnknown means that the request may have run.
 	VerdictUnknown
-	// VerdictTimeout tells that the time was over; it promises nothing.
+	// VerdictTimeout means that the time ran out; the request may have run.
 	VerdictTimeout
-	// VerdictNoRoute tells that no configured route takes the request.
+	// VerdictNoRoute means that no configured route matches the request.
 	VerdictNoRoute
-	// VerdictInvalid tells that the request is malformed.
+	// VerdictInvalid means that the request is malformed.
 	VerdictInvalid
-	// VerdictTooLarge tells that the body exceeds the limit.
+	// VerdictTooLarge means that the body exceeds the limit.
 	VerdictTooLarge
-	// VerdictHeaderTooLarge tells that the header exceeds the limit.
+	// VerdictHeaderTooLarge means that the header exceeds the limit.
 	VerdictHeaderTooLarge
-	// VerdictHeaderTimeout tells that the request did not come in time.
+	// VerdictHeaderTimeout means that the request was not received within the header
+	// timeout.
 	VerdictHeaderTimeout
-	// VerdictOverQuota promises like VerdictNotRun; too much waits already.
+	// VerdictOverQuota makes the promise of VerdictNotRun: the quota of waiting work is
+	// used up.
 	VerdictOverQuota
-	// VerdictOverRate promises like VerdictNotRun; the tenant has used up its
-	// limit.
+	// VerdictOverRate makes the promise of VerdictNotRun: the tenant's limit is used up.
 	VerdictOverRate
-	// VerdictUnauthorized tells that the call carries no key that is known.
+	// VerdictUnauthorized means that the call carries no known key.
 	VerdictUnauthorized
-	// VerdictQuarantined promises, for this call, like VerdictNotRun: backends ended
-	// under earlier calls of the same request, and until the time to come back is
-	// over it is not sent to any.
+	// VerdictQuarantined makes the promise of VerdictNotRun for this call. Earlier calls
+	// of the same request crashed backends, and it is not sent to any until the
+	// retry-after time has passed.
 	VerdictQuarantined
 )
 
-// String returns the name that logs and metrics carry.
+// String returns the name used in logs and metrics.
 func (v Verdict) String() string {
 	return [...]string{"not_run", "unknown", "timeout", "no_route", "invalid", "too_large", "header_too_large", "header_timeout", "over_quota", "over_rate", "unauthorized", "quarantined"}[v]
 }
 
-// Refusal is an answer of the daemon's own.
+// Refusal is an answer that the daemon makes itself.
 type Refusal struct {
 	Verdict Verdict
-	// RetryAfter tells when to come back; 0 means no advice.
+	// RetryAfter is the time after which the caller should retry; 0 means no advice.
 	RetryAfter time.Duration
 	// Code names the exact cause.
 	Code string
--- a/internal/serving/reserve.go
+++ b/internal/serving/reserve.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// leastQuestions and mostQuestions bound how many backends are asked for a
-	// place, one in questionShare of a service's; then the request waits at one.
-	leastQuestions = 3
-	mostQuestions  = 8
-	questionShare  = 8
-	// reservationTime is how long a place is set aside.
+	// minAttemptedBackends and maxAttemptedBackends bound the number of backends at which
+	// a request attempts a reservation before it queues. The number is one in
+	// backendsPerAttempt of the service's backends.
+	minAttemptedBackends = 3
+	maxAttemptedBackends = 8
+	backendsPerAttempt   = 8
+	// reservationTime is how long a reservation is valid.
 	reservationTime = 200 * time.Millisecond
-	// reservationPatience bounds one question.
-	reservationPatience = 60 * time.Millisecond
+	// reservationTimeout bounds one reservation attempt.
+	reservationTimeout = 60 * time.Millisecond
 )
 
-// Reserver sets places aside at backends.
+// Reserver makes reservations at backends.
 type Reserver interface {
-	// Reserve sets a slot and memory for so many tokens aside for a time, and
-	// names the place. An error is an *AttemptError that tells not run.
+	// Reserve reserves a slot and memory for the given tokens, for a limited time, and
+	// returns the reservation's name. An error is an *AttemptError with OutcomeNotRun.
 	Reserve(ctx context.Context, wanted Reservation) (string, error)
 }
 
-// Reservation is a place that is wanted at a backend.
+// Reservation is a request for a reservation at a backend.
 type Reservation struct {
 	Attempt
 	Tokens int
 	Time   time.Duration
 }
 
-// placesOf returns who sets places aside at the backends of a service, and for
-// how long at most. It reports false when they set none aside.
-func placesOf(sender Sender, table *route.Table, service string) (Reserver, time.Duration, bool) {
+// reserverFor returns the reserver for a service's backends and the longest time of a
+// reservation. It reports false if the service takes no reservations.
+func reserverFor(sender Sender, table *route.Table, service string) (Reserver, time.Duration, bool) {
 	reserver, canReserve := sender.(Reserver)
 	if !canReserve || table == nil {
 		return nil, 0, false
@@ -47,24 +48,24 @@
 	return reserver, configured.ReservationTime, true
 }
 
-// Reserve asks a backend for a place for an attempt, if backends of its
-// service set places aside, and notes the place in the attempt. Daemons choose
-// at once from pictures that are a moment old; only the backend knows. An error
-// tells that the backend has no room or cannot be reached; nothing has run.
+// Reserve makes a reservation for an attempt, if the service takes reservations, and
+// stores its name in the attempt. It avoids that daemons with the same stale view of the
+// load choose the same slot. An error means that the backend has no free capacity or
+// cannot be reached; the request has not run.
 func Reserve(ctx context.Context, sender Sender, table *route.Table, attempt *Attempt, tokens int) error {
-	reserver, longest, found := placesOf(sender, table, attempt.Instance.Service)
+	reserver, longest, found := reserverFor(sender, table, attempt.Instance.Service)
 	if tokens == 0 || !found {
 		return nil
 	}
-	bounded, cancel := context.WithTimeout(ctx, reservationPatience)
+	bounded, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
-	place, err := reserver.Reserve(bounded, Reservation{Attempt: *attempt, Tokens: tokens, Time: min(reservationTime, longest)})
-	attempt.Reservation = place
+	name, err := reserver.Reserve(bounded, Reservation{Attempt: *attempt, Tokens: tokens, Time: min(reservationTime, longest)})
+	attempt.Reservation = name
 	return err
 }
 
-// questions is how many backends are asked for a place where a service has so
-// many: the more there are, the likelier one has room.
-func questions(backends int) int {
-	return min(max(backends/questionShare, leastQuestions), mostQuestions)
+// attemptedBackends returns the number of backends at which a reservation is attempted,
+// given the number of the service's backends.
+func attemptedBackends(backends int) int {
+	return min(max(backends/backendsPerAttempt, minAttemptedBackends), maxAttemptedBackends)
 }
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -37,25 +37,25 @@
 	breaksInBody
 	skipsAnEvent
 	repeatsAnEvent
-	behaviours
+	behaviourCount
 )
 
-// script is a sender that treats attempts as drawn. It checks what it is asked.
+// script is a sender whose backends behave as drawn. It records violated expectations in
+// problems.
 type script struct {
 	mutex sync.Mutex
 	draw  []behaviour
-	// refusals tell which questions for a place are refused, in order; a backend
-	// is unreachable for the question where it says so.
-	refusals []serving.Reason
-	asked    int
-	// askedAt are the backends asked for a place, in order.
-	askedAt  []string
-	place    string
-	sends    int
-	runs     int
-	ran      map[string]bool
-	lastSeen *recorder
-	problems []string
+	// refusals are the results of reservation attempts in order; empty means success.
+	refusals     []serving.Reason
+	reserveCalls int
+	// reserveBackends are the backends of the reservation attempts in order.
+	reserveBackends []string
+	reservation     string
+	sends           int
+	runs            int
+	ran             map[string]bool
+	lastSeen        *recorder
+	problems        []string
 }
 
 func (s *script) Send(_ context.Context, attempt serving.Attempt) (serving.Answer, error) {
@@ -67,17 +67,17 @@
 	}
 	s.sends++
 	if attempt.LastEvent != s.lastSeen.last {
-		s.problems = append(s.problems, fmt.Sprintf("asked to go on behind %d, the caller has %d", attempt.LastEvent, s.lastSeen.last))
+		s.problems = append(s.problems, fmt.Sprintf("resumed after %d, the caller has %d", attempt.LastEvent, s.lastSeen.last))
 	}
 	if attempt.Reservation != "" && attempt.Reservation != "place at "+attempt.Instance.ID {
-		s.problems = append(s.problems, "sent with the place of another back end")
+		s.problems = append(s.problems, "sent with a reservation of another backend")
 	}
-	if attempt.Reservation != s.place {
-		s.problems = append(s.problems, "sent without the place that was set aside")
+	if attempt.Reservation != s.reservation {
+		s.problems = append(s.problems, "sent without its reservation")
 	}
-	s.place = "" // a place serves once
+	s.reservation = "" // a reservation is used once
 	if attempt.Remaining <= 0 {
-		s.problems = append(s.problems, "sent without time")
+		s.problems = append(s.problems, "sent without remaining time")
 	}
 	switch next {
 	case unreachable:
@@ -92,29 +92,29 @@
 	if next == breaksBeforeHead {
 		return nil, &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	}
-	return &scripted{behaviour: next, stream: attempt.Stream, next: attempt.LastEvent + 1, instance: attempt.Instance.ID}, nil
+	return &scriptedAnswer{behaviour: next, stream: attempt.Stream, next: attempt.LastEvent + 1, instance: attempt.Instance.ID}, nil
 }
 
-// Reserve sets places aside unless it is drawn otherwise.
+// Reserve makes a reservation unless the script refuses it.
 func (s *script) Reserve(_ context.Context, wanted serving.Reservation) (string, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	refusal := serving.Reason("")
-	if s.asked < len(s.refusals) {
-		refusal = s.refusals[s.asked]
+	if s.reserveCalls < len(s.refusals) {
+		refusal = s.refusals[s.reserveCalls]
 	}
-	s.asked++
-	s.askedAt = append(s.askedAt, wanted.Instance.ID)
-	s.place = ""
+	s.reserveCalls++
+	s.reserveBackends = append(s.reserveBackends, wanted.Instance.ID)
+	s.reservation = ""
 	if refusal != "" {
 		return "", &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: refusal}
 	}
-	s.place = "place at " + wanted.Instance.ID
-	return s.place, nil
+	s.reservation = "place at " + wanted.Instance.ID
+	return s.reservation, nil
 }
 
-// scripted is an answer.
-type scripted struct {
+// scriptedAnswer is an answer that behaves as drawn.
+type scriptedAnswer struct {
 	behaviour behaviour
 	stream    bool
 	next      int64
@@ -122,7 +122,7 @@
 	sent      int
 }
 
-func (a *scripted) Head() serving.Head {
+func (a *scriptedAnswer) Head() serving.Head {
 	head := serving.Head{Status: 200, Signed: true, Events: a.stream, Fields: []serving.Field{{Name: "From", Value: a.instance}}}
 	if a.behaviour == failsWithStatus {
 		head.Status, head.Events = 500, false
@@ -130,18 +130,18 @@
 	return head
 }
 
-func (a *scripted) Load() (backend.Report, bool) { return backend.Report{}, false }
-func (a *scripted) Detach()                      {}
-func (a *scripted) Close()                       {}
+func (a *scriptedAnswer) Load() (backend.Report, bool) { return backend.Report{}, false }
+func (a *scriptedAnswer) Detach()                      {}
+func (a *scriptedAnswer) Close()                       {}
 
-func (a *scripted) Body() ([]byte, error) {
+func (a *scriptedAnswer) Body() ([]byte, error) {
 	if a.behaviour == breaksInBody {
 		return nil, &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	}
 	return []byte("body"), nil
 }
 
-func (a *scripted) Next() (serving.Event, error) {
+func (a *scriptedAnswer) Next() (serving.Event, error) {
 	if a.next > streamLength {
 		return serving.Event{}, io.EOF
 	}
@@ -161,14 +161,14 @@
 	return event, nil
 }
 
-// recorder is a caller. It counts ends and keeps the events.
+// recorder is a caller. It counts the calls and records the events.
 type recorder struct {
-	begun, finished, aborted, whole int
-	refusals                        []serving.Refusal
-	from                            string
-	text                            strings.Builder
-	last                            int64
-	status                          int
+	begun, finished, aborted, complete int
+	refusals                           []serving.Refusal
+	from                               string
+	text                               strings.Builder
+	last                               int64
+	status                             int
 }
 
 func (r *recorder) Begin(head serving.Head) error {
@@ -186,7 +186,7 @@
 func (r *recorder) Finish() error { r.finished++; return nil }
 
 func (r *recorder) Whole(head serving.Head, _ []byte) error {
-	r.whole++
+	r.complete++
 	r.status = head.Status
 	return nil
 }
@@ -207,7 +207,7 @@
 	return serving.NewCore(backends, sender, &route.Holder{}, metrics, slog.New(slog.DiscardHandler), func() int { return 1 })
 }
 
-func wholeText() string {
+func completeText() string {
 	text := ""
 	for number := 1; number <= streamLength; number++ {
 		text += fmt.Sprintf("%d;", number)
@@ -215,12 +215,12 @@
 	return text
 }
 
-// TestEveryOutcome: whatever the backends do, in whatever order, a request
-// gets one final answer, which is true.
-func TestEveryOutcome(t *testing.T) {
+// TestOneCorrectAnswerOverRandomAttempts checks, over random behaviour of backends, that a
+// request gets exactly one final answer and that it is correct.
+func TestOneCorrectAnswerOverRandomAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behaviour {
-			return behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour"))
+			return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 		}), 0, 6).Draw(t, "draw")
 		policy := &route.Route{
 			Kind: route.Kind(rapid.IntRange(0, int(route.KindStream)).Draw(t, "kind")), Resumable: rapid.Bool().Draw(t, "resumable"),
@@ -231,23 +231,23 @@
 		refusals := rapid.SliceOfN(rapid.SampledFrom([]serving.Reason{"", serving.ReasonRefused, serving.ReasonUnreachable}), 0, 6).Draw(t, "places")
 		sender := &script{draw: draw, refusals: refusals, ran: map[string]bool{}, lastSeen: caller}
 		core := newCore(sender)
-		if rapid.Bool().Draw(t, "back ends set places aside") {
-			core.Holder.Apply(withPlaces(), time.Now())
+		if rapid.Bool().Draw(t, "backends take reservations") {
+			core.Holder.Apply(withReservations(), time.Now())
 		}
 		now := time.Now()
 		core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(time.Second)}, caller)
 
 		require.Empty(t, sender.problems)
-		require.Equal(t, 1, caller.finished+caller.aborted+caller.whole+len(caller.refusals), "one final answer")
+		require.Equal(t, 1, caller.finished+caller.aborted+caller.complete+len(caller.refusals), "one final answer")
 		require.LessOrEqual(t, caller.begun, 1)
 		require.LessOrEqual(t, sender.runs, policy.MaxAttempts, "more runs than allowed")
 		if !policy.Repeatable() {
 			require.LessOrEqual(t, sender.runs, 1, "ran twice")
 		}
 		if caller.finished == 1 {
-			require.Equal(t, wholeText(), caller.text.String())
+			require.Equal(t, completeText(), caller.text.String())
 		}
-		require.True(t, strings.HasPrefix(wholeText(), caller.text.String()), "events out of order: %s", caller.text.String())
+		require.True(t, strings.HasPrefix(completeText(), caller.text.String()), "events out of order: %s", caller.text.String())
 		for _, refusal := range caller.refusals {
 			require.Zero(t, caller.begun)
 			if refusal.Verdict == serving.VerdictNotRun {
@@ -258,16 +258,16 @@
 	})
 }
 
-// withPlaces configures a service whose backends set places aside.
-func withPlaces() route.Config {
+// withReservations configures a service whose backends take reservations.
+func withReservations() route.Config {
 	return route.Config{Version: 1, Services: []route.Service{{Name: "s", ReservationTime: time.Second}}}
 }
 
-// TestRequestGoesWhereAPlaceIs: backends without a place are passed by and
-// never see the request, however many they are; it waits and asks again.
-func TestRequestGoesWhereAPlaceIs(t *testing.T) {
+// TestRequestSentWhereReserved checks that a request is sent only to the backend that made
+// a reservation, and that it keeps trying while backends refuse.
+func TestRequestSentWhereReserved(t *testing.T) {
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
-	// Backends are drawn: one first round alone may ask each once by chance.
+	// Backends are chosen at random, so one run may pass by chance.
 	for _, refused := range append([]int{0, 1, 3, 4, 11}, slices.Repeat([]int{2}, 50)...) {
 		caller := &recorder{}
 		sender := &script{ran: map[string]bool{}, lastSeen: caller}
@@ -275,55 +275,56 @@
 			sender.refusals = append(sender.refusals, serving.ReasonRefused)
 		}
 		core := newCore(sender)
-		core.Holder.Apply(withPlaces(), time.Now())
+		core.Holder.Apply(withReservations(), time.Now())
 		now := time.Now()
 		core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}, caller)
 		require.Empty(t, sender.problems)
 		require.Equal(t, 1, caller.finished)
 		require.Equal(t, 1, sender.sends)
-		require.Equal(t, refused+1, sender.asked)
-		first := append([]string(nil), sender.askedAt[:min(sender.asked, 3)]...)
+		require.Equal(t, refused+1, sender.reserveCalls)
+		first := append([]string(nil), sender.reserveBackends[:min(sender.reserveCalls, 3)]...)
 		slices.Sort(first)
-		require.Len(t, slices.Compact(first), min(sender.asked, 3), "asked twice in the first round")
+		require.Len(t, slices.Compact(first), min(sender.reserveCalls, 3), "backend tried twice in the first round")
 	}
 }
 
-// TestRequestWithoutAPlaceQueuesInTheEnd: it is sent without one well before its
-// caller leaves, and asks more often while it can still be in time than after.
-func TestRequestWithoutAPlaceQueuesInTheEnd(t *testing.T) {
+// TestRequestQueuesAfterSlotWait checks that a request is sent without a reservation after
+// the longest wait, and attempts reservations more often while it can be on time than when
+// it is overdue.
+func TestRequestQueuesAfterSlotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: 300 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 		caller := &recorder{}
 		sender := &script{ran: map[string]bool{}, lastSeen: caller}
-		inTime := 0
+		onTime := 0
 		for range 1000 {
 			sender.refusals = append(sender.refusals, serving.ReasonRefused)
 		}
 		core := newCore(sender)
-		core.Holder.Apply(withPlaces(), time.Now())
+		core.Holder.Apply(withReservations(), time.Now())
 		now := time.Now()
 		go func() {
 			time.Sleep(policy.Objective)
 			sender.mutex.Lock()
 			defer sender.mutex.Unlock()
-			inTime = sender.asked
+			onTime = sender.reserveCalls
 		}()
 		core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}, caller)
 		require.Equal(t, 1, caller.finished)
 		require.Equal(t, 1, sender.sends)
 		require.InDelta(t, 1200, time.Since(now).Milliseconds(), 150)
-		late := sender.asked - inTime
-		require.Greater(t, inTime, 2*late, "%d questions in time, %d late", inTime, late)
+		overdue := sender.reserveCalls - onTime
+		require.Greater(t, onTime, 2*overdue, "%d reservation attempts on time, %d overdue", onTime, overdue)
 	})
 }
 
-// TestUnreachableBackendIsNoRun: the question for a place finds it out before
-// a request that runs at most once is sent.
-func TestUnreachableBackendIsNoRun(t *testing.T) {
+// TestFailedReservationIsNoRun checks that a failed reservation does not count as a run of
+// a request that may run once.
+func TestFailedReservationIsNoRun(t *testing.T) {
 	caller := &recorder{}
 	sender := &script{refusals: []serving.Reason{serving.ReasonBroken}, ran: map[string]bool{}, lastSeen: caller}
 	core := newCore(sender)
-	core.Holder.Apply(withPlaces(), time.Now())
+	core.Holder.Apply(withReservations(), time.Now())
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	now := time.Now()
 	core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}, caller)
@@ -331,8 +332,8 @@
 	require.Equal(t, 1, sender.runs)
 }
 
-// TestRetriesAreBounded: when every backend refuses everything, attempts stay
-// near the number of requests.
+// TestRetriesAreBounded checks that the retry budget bounds the attempts when every
+// backend refuses.
 func TestRetriesAreBounded(t *testing.T) {
 	refusing := &refuser{}
 	core := newCore(refusing)
@@ -347,7 +348,7 @@
 	require.Less(t, refusing.sends, requests*3/2)
 }
 
-// refuser refuses everything.
+// refuser is a sender that refuses all attempts.
 type refuser struct {
 	sends int
 }
@@ -357,9 +358,9 @@
 	return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonRefused}
 }
 
-// TestNoBackendIsRefusedAtOnce: with the time to come back, well within the
-// objective.
-func TestNoBackendIsRefusedAtOnce(t *testing.T) {
+// TestNoBackendRefusesEarly checks that a request is refused with a retry-after time if
+// its service has no backend.
+func TestNoBackendRefusesEarly(t *testing.T) {
 	caller := &recorder{}
 	sender := &script{ran: map[string]bool{}, lastSeen: caller}
 	policy := &route.Route{Kind: route.KindOnce, Timeout: time.Minute, Objective: 200 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "none"}}}
@@ -370,41 +371,40 @@
 	require.Positive(t, caller.refusals[0].RetryAfter)
 }
 
-// leavingScript is a script whose backends leave right after they have set their
-// first place aside.
-type leavingScript struct {
+// removingScript is a script whose first backend to make a reservation is removed right
+// after it.
+type removingScript struct {
 	*script
-	core *serving.Core
-	left bool
+	core    *serving.Core
+	removed bool
 }
 
-func (s *leavingScript) Reserve(ctx context.Context, wanted serving.Reservation) (string, error) {
-	place, err := s.script.Reserve(ctx, wanted)
-	if err == nil && !s.left {
-		s.left = true
+func (s *removingScript) Reserve(ctx context.Context, wanted serving.Reservation) (string, error) {
+	name, err := s.script.Reserve(ctx, wanted)
+	if err == nil && !s.removed {
+		s.removed = true
 		s.core.Backends.Remove(wanted.Instance.ID)
-		s.script.place = ""
+		s.script.reservation = ""
 	}
-	return place, err
+	return name, err
 }
 
-// TestBackendThatLeavesWithThePlace: the request goes on to ask others at once.
-func TestBackendThatLeavesWithThePlace(t *testing.T) {
+// TestBackendRemovedAfterReservation checks that the request tries other backends at once.
+func TestBackendRemovedAfterReservation(t *testing.T) {
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	caller := &recorder{}
-	sender := &leavingScript{script: &script{ran: map[string]bool{}, lastSeen: caller, refusals: []serving.Reason{serving.ReasonRefused, serving.ReasonRefused, serving.ReasonRefused}}}
+	sender := &removingScript{script: &script{ran: map[string]bool{}, lastSeen: caller, refusals: []serving.Reason{serving.ReasonRefused, serving.ReasonRefused, serving.ReasonRefused}}}
 	sender.core = newCore(sender)
-	sender.core.Holder.Apply(withPlaces(), time.Now())
+	sender.core.Holder.Apply(withReservations(), time.Now())
 	now := time.Now()
 	sender.core.Serve(context.Background(), serving.Request{ID: "r", Route: policy, Service: "s", Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}, caller)
-	require.True(t, sender.left)
+	require.True(t, sender.removed)
 	require.Equal(t, 1, caller.finished)
 	require.Less(t, time.Since(now), policy.Objective)
 }
 
-// TestWaitingRequestPreemptsItems: a request that backends have no place for has
-// batch items give way where some run, one for every two such backends, until it
-// is placed; one that is placed at once preempts nothing.
+// TestWaitingRequestPreemptsItems checks that a request preempts one batch item for every
+// two backends without a slot, until it has a reservation.
 func TestWaitingRequestPreemptsItems(t *testing.T) {
 	policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
 	for _, refused := range []int{0, 1, 3, 6} {
@@ -414,7 +414,7 @@
 			sender.refusals = append(sender.refusals, serving.ReasonRefused)
 		}
 		core := newCore(sender)
-		core.Holder.Apply(withPlaces(), time.Now())
+		core.Holder.Apply(withReservations(), time.Now())
 		loads := map[string]backend.PeerLoad{}
 		for _, instance := range core.Backends.Instances("s") {
 			loads[instance.ID] = backend.PeerLoad{Batch: instance.Slots}
--- a/internal/serving/verdict.go
+++ b/internal/serving/verdict.go
@@ -6,7 +6,7 @@
 	"topazpulley/internal/quarantine"
 )
 
-// quarantined returns the verdict on the request if it is quarantined.
+// quarantined returns the quarantine verdict on the request, if it is quarantined.
 func (e *exchange) quarantined() (quarantine.Verdict, bool) {
 	if e.core.Quarantine == nil {
 		return quarantine.Verdict{}, false
@@ -14,11 +14,10 @@
 	return e.core.Quarantine.Verdict(e.fingerprint)
 }
 
-// refuseQuarantined answers a request that is quarantined, and reports whether it
-// did.
+// refuseQuarantined refuses the request if it is quarantined and reports whether it did.
 func (e *exchange) refuseQuarantined() bool {
-	verdict, isHeld := e.quarantined()
-	if !isHeld {
+	verdict, isQuarantined := e.quarantined()
+	if !isQuarantined {
 		return false
 	}
 	e.reason = ReasonQuarantined
@@ -27,25 +26,26 @@
 	return true
 }
 
-// giveUp tells the caller the one thing that is known.
+// giveUp ends the request: it aborts an answer that has begun, else refuses with a verdict
+// that says whether an attempt may have run.
 func (e *exchange) giveUp(retryAfter time.Duration, code string) {
 	e.giveUpWith(VerdictNotRun, retryAfter, code)
 }
 
-// giveUpWith does the same; notRun is the verdict if nothing has run.
+// giveUpWith is giveUp with a given verdict for a request that has not run.
 func (e *exchange) giveUpWith(notRun Verdict, retryAfter time.Duration, code string) {
 	if e.caller.Err() != nil {
 		e.outcome = "caller_gone"
 		e.responder.Abort()
 		return
 	}
-	if e.begun {
+	if e.hasBegun {
 		e.outcome = "broken_off"
 		e.responder.Abort()
 		return
 	}
 	refusal := Refusal{Verdict: notRun, RetryAfter: retryAfter, Code: code}
-	isOver := e.remaining() < minimumRemaining
+	isOver := e.remaining() < minRemaining
 	switch {
 	case e.ran.MayHaveRun() && isOver:
 		refusal = Refusal{Verdict: VerdictTimeout, Code: code}
@@ -58,7 +58,7 @@
 	}
 }
 
-// record writes the request's one line and its metrics.
+// record logs the end of the request and updates its metrics.
 func (e *exchange) record() {
 	took := time.Since(e.request.Arrived)
 	e.core.Metrics.Requests.WithLabelValues(e.request.Service, e.outcome).Inc()
@@ -70,7 +70,7 @@
 	}
 	e.core.Logger.Info("request_ended", "id", e.request.ID, "outcome", e.outcome, "reason", string(e.reason),
 		"route", e.request.Route.Name, "config", e.request.ConfigVersion, "tenant", e.request.tenantName(), "fingerprint", e.fingerprint.String(), "limit_source", string(e.admission.Source),
-		"limit_level", e.admission.Level, "limit_ms", e.admission.Took.Milliseconds(), "unplaced", e.unplaced, "waited_ms", e.waited.Milliseconds(), "queued", e.isQueued, "backend", e.last.ID, "sends", e.sends, "runs", e.runs,
+		"limit_level", e.admission.Level, "limit_ms", e.admission.Took.Milliseconds(), "unplaced", e.noSlotCount, "waited_ms", e.waited.Milliseconds(), "queued", e.isQueued, "backend", e.last.ID, "sends", e.sends, "runs", e.runs,
 		"online", e.cost.Online, "batch", e.cost.Batch, "slots", e.cost.Slots, "pending_tokens", e.cost.PendingTokens,
 		"uncached_tokens", e.cost.UncachedTokens, "report_age_ms", min(e.cost.ReportAge, time.Hour).Milliseconds(), "events", e.events, "first_ms", first.Milliseconds(), "took_ms", took.Milliseconds())
 }
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -32,10 +32,10 @@
 mutant loads_told_without_a_life internal/exchange/message.go \
 	'StartMillis: load.StartMillis, ' '' internal/exchange TestMessagesNameLives
 mutant place_of_the_life_before internal/serving/exchange.go \
-	'AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, ' 'Acquire(candidate.ID, ' internal/serving TestBackendThatStartsAgainHoldsNoPlace
+	'AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, ' 'Acquire(candidate.ID, ' internal/serving TestRestartedBackendLosesReservation
 mutant ends_by_id internal/serving/guarded.go \
-	's.guard.Crashed(life.String(), runs)' 's.guard.Crashed(life.ID, runs)' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
+	's.guard.Crashed(incarnation.String(), runs)' 's.guard.Crashed(incarnation.ID, runs)' internal/serving TestCrashesOfOneBackendCountPerIncarnation
 mutant later_life_confirms_no_end internal/serving/guarded.go \
-	' || s.backends.HasSuccessor(life)' '' internal/serving TestTwoLivesOfOneBackendAreTwoEnds
+	' || s.backends.HasSuccessor(incarnation)' '' internal/serving TestCrashesOfOneBackendCountPerIncarnation
 mutant connections_by_id platform/pool.go \
 	'endpoint{life: instance.Incarnation(), ' 'endpoint{life: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -11,12 +11,12 @@
 	'defer leave()' '_ = leave' internal/job TestHeldSubmissionEndsWithItsCaller
 mutant not_held internal/job/accept.go \
 	'wasHeld, err := s.holdWhileAway(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestJobsOfAnOutageAreAcceptedBehindIt
-mutant left_whatever_the_route internal/serving/silence.go \
-	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestWhatMayRunOnceIsNeverLeft
-mutant silence_without_budget internal/serving/silence.go \
-	'!e.core.silences.Spend()' 'false' internal/serving TestEarlyEndsHaveABudget
+mutant left_whatever_the_route internal/serving/timeout.go \
+	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestUnrepeatableAttemptIsNotEnded
+mutant silence_without_budget internal/serving/timeout.go \
+	'!e.core.earlyEnds.Spend()' 'false' internal/serving TestEarlyEndsHaveABudget
 mutant silent_zone_asked_again internal/serving/exchange.go \
-	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfASilentBackendIsLeft
+	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfSilentBackendIsAvoided
 mutant nothing_learned internal/responsetimeout/responsetimeout.go \
 	'learned.add(took)' '_ = took' internal/responsetimeout TestQuickServicesAreLeftSoon
 mutant stream_left_before_it_is_late internal/responsetimeout/responsetimeout.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -7,18 +7,18 @@
 	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
 mutant waiting_late_hurries internal/slotqueue/slotqueue.go \
 	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
-mutant waiting_alone internal/serving/await.go \
-	'pause := slotqueue.Pause(request, fleet)' 'pause := slotqueue.PauseWithoutStats(request)' internal/serving TestLateRequestMakesWay
-mutant waiting_queues_in_the_end internal/serving/await.go \
-	'if ctx.Err() == nil && e.isTurnedAway() {' 'if false {' internal/serving TestLateRequestMakesWay
-mutant waiting_turns_streams_away internal/serving/await.go \
-	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.ran.MayHaveRun() {' internal/serving TestInterruptedStreamIsNotLate
-mutant waiting_before_batch internal/serving/await.go \
-	'if !fleet.IsOverloaded(e.request.Route.Objective) || e.mayPreempt() {' 'if !fleet.IsOverloaded(e.request.Route.Objective) {' internal/serving TestBatchItemsGiveWayBeforeAnyoneIsTurnedAway
-mutant waiting_turns_runs_away internal/serving/await.go \
-	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.lastEvent > 0 {' internal/serving TestRequestThatMayHaveRunIsNotTurnedAway
-mutant waiting_switch internal/serving/await.go \
-	'if !e.core.OrdersWaiting || e.lastEvent > 0 ||' 'if e.lastEvent > 0 ||' internal/serving TestOrderIsOffWhereItIsSwitchedOff
+mutant waiting_alone internal/serving/slotwait.go \
+	'pause := slotqueue.Pause(request, fleet)' 'pause := slotqueue.PauseWithoutStats(request)' internal/serving TestOverdueRequestYieldsAndIsRejected
+mutant waiting_queues_in_the_end internal/serving/slotwait.go \
+	'if ctx.Err() == nil && e.rejectIfOverloaded() {' 'if false {' internal/serving TestOverdueRequestYieldsAndIsRejected
+mutant waiting_turns_streams_away internal/serving/slotwait.go \
+	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.ran.MayHaveRun() {' internal/serving TestInterruptedStreamIsNotOverdue
+mutant waiting_before_batch internal/serving/slotwait.go \
+	'if !fleet.IsOverloaded(e.request.Route.Objective) || e.mayPreempt() {' 'if !fleet.IsOverloaded(e.request.Route.Objective) {' internal/serving TestBatchItemsPreemptedBeforeRejection
+mutant waiting_turns_runs_away internal/serving/slotwait.go \
+	'e.lastEvent > 0 || e.ran.MayHaveRun() {' 'e.lastEvent > 0 {' internal/serving TestRequestThatMayHaveRunIsNotRejected
+mutant waiting_switch internal/serving/slotwait.go \
+	'if !e.core.OrdersWaiting || e.lastEvent > 0 ||' 'if e.lastEvent > 0 ||' internal/serving TestOrdersWaitingDisabled
 mutant waiting_sums_not_told internal/exchange/message.go \
 	'QueueStats: queueStatsRecords(work.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestSumsSurviveTheWire
 mutant waiting_sums_not_added internal/exchange/message.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -178,7 +178,7 @@
 	'isNew := held.Tokens == 0' 'isNew := true' internal/quota TestReleaseSparesALaterHolder
 mutant no_place internal/serving/exchange.go \
 	'e.excluded[e.last.ID] = true
-			continue' 'continue' internal/serving TestRequestGoesWhereAPlaceIs
+			continue' 'continue' internal/serving TestRequestSentWhereReserved
 mutant place_not_sent platform/runner.go \
 	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
@@ -197,12 +197,12 @@
 	'if age >= upstreamAge {' 'if false {' internal/frontend TestUpstreamWithoutStoreTellsNothing
 mutant preempted_twice internal/exchange/relay.go \
 	'max(h.work.inFlight[id].Batch-h.preempted[id], 0)' 'h.work.inFlight[id].Batch' internal/exchange TestEachPreemptionTakesAnotherItem
-mutant no_preemption internal/serving/await.go \
+mutant no_preemption internal/serving/slotwait.go \
 	'		e.preemptAt(chosen)' '' internal/serving TestWaitingRequestPreemptsItems
 mutant no_pause_after_giving_way internal/job/dispatch.go \
 	'	s.placer.pause(now.Add(givenWayPause))' '' internal/job 'TestOwnerThatGaveWaySendsNothingForAWhile|TestPauseAfterGivingWayInVirtualTime'
 mutant queues_without_waiting internal/serving/exchange.go \
-	'if e.mustAwaitPlace() {' 'if false {' internal/serving TestRequestWithoutAPlaceQueuesInTheEnd
+	'if e.mustWaitForSlot() {' 'if false {' internal/serving TestRequestQueuesAfterSlotWait
 mutant late_drop internal/job/owned.go \
 	'if s.owned[o.job.ID] == o {' 'if true {' internal/job TestLateGoroutineDropsNoNewerOwnership
 mutant no_give_back internal/job/takeover.go \
@@ -236,7 +236,7 @@
 mutant every_refusal_promises internal/runrecord/runrecord.go \
 	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunIsTrueAfterUnknownAttempts'
 mutant sends_not_noted internal/serving/exchange.go \
-	'	e.ran.Sent()' '' internal/serving 'TestPromisesOverRandomAttempts|TestPromiseFollowsWhatWasSent'
+	'	e.ran.Sent()' '' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant generations_not_noted internal/gateway/generation.go \
 	'	n.ran.Sent()' '' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
 mutant calls_not_noted internal/gateway/plain.go \
@@ -250,7 +250,7 @@
 mutant status_promises internal/failure/failure.go \
 	'if isPromise && !e.NotRun {' 'if isPromise && false {' internal/gateway TestOnlyPromisesHaveTheirStatus
 mutant unsent_taken_for_silent internal/serving/exchange.go \
-	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestPromisesOverRandomAttempts|TestPromiseFollowsWhatWasSent'
+	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant stray_refusal_believed platform/runner.go \
 	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
 mutant pursued_end_promised internal/job/ending.go \
@@ -289,7 +289,7 @@
 mutant forwarded_call_outlives_its_caller internal/gateway/forward.go \
 	'context.AfterFunc(watched, passed.end)' 'context.AfterFunc(context.Background(), passed.end)' internal/gateway TestCallerThatLeavesEndsAForwardedWholeAnswer
 mutant quarantined_sent internal/serving/guarded.go \
-	'if _, isHeld := s.guard.Verdict(attempt.Fingerprint); !isHeld {' 'if true {' internal/serving TestGuardedSenderRefusesWhateverTheWay
+	'if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {' 'if true {' internal/serving TestGuardedSenderRefusesQuarantined
 mutant every_break_is_a_crash internal/serving/guarded.go \
 	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
@@ -301,13 +301,13 @@
 mutant hangup_ends_a_start cmd/topazpulley/main.go \
 	'	_ "topazpulley/internal/command/ignorehangup" // before what starts slowly' '' cmd/topazpulley TestHangupDoesNotEndAStartingDaemon
 mutant sleep_leaves_time internal/serving/exchange.go \
-	'time.Until(e.end) - e.core.Clock.SleptSince(e.arrived)' 'time.Until(e.end)' internal/serving TestBackendsAreToldTheTimeThatIsLeftAfterASleep
+	'time.Until(e.end) - e.core.Clock.SleptSince(e.arrived)' 'time.Until(e.end)' internal/serving TestRemainingTimeExcludesSuspension
 mutant old_time_told internal/serving/request.go \
-	'	if a.TimeLeft != nil {' '	if false {' internal/serving TestNothingIsSentForACallerThatLeftDuringASleep
+	'	if a.TimeLeft != nil {' '	if false {' internal/serving TestNotSentWhenDeadlinePassedDuringSuspension
 mutant asleep_timers_believed internal/boottime/deadline.go \
-	'max(time.Until(e.deadline)-slept, 0)' 'max(time.Until(e.deadline), 0)' internal/serving TestRequestsWhoseTimeIsOverEndAfterASleep
+	'max(time.Until(e.deadline)-slept, 0)' 'max(time.Until(e.deadline), 0)' internal/serving TestRequestEndsAfterSuspensionPastDeadline
 mutant only_ended_times_noticed internal/boottime/deadline.go \
-	'	if e.isStopped {' '	if e.isStopped || slept < time.Until(e.deadline) {' internal/serving TestRequestsWhoseTimeIsOverEndAfterASleep
+	'	if e.isStopped {' '	if e.isStopped || slept < time.Until(e.deadline) {' internal/serving TestRequestEndsAfterSuspensionPastDeadline
 mutant asleep_timers_believed_by_the_gateway internal/gateway/deadline.go \
 	'g.Wakeups.WithDeadline(g.lifetime, deadline, request.arrivedMark)' 'context.WithDeadline(g.lifetime, deadline)' internal/gateway TestRequestsWhoseTimeIsOverEndAfterASleep
 mutant engines_waited_for_after_a_sleep internal/engine/send.go \
@@ -360,7 +360,7 @@
 mutant void_once_only internal/job/void.go \
 	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
-	'e.noteSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
+	'e.logSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
 	'"epoch", epoch, ' '"at", epoch, ' platform TestOriginOfAnItemIsInTheLog
 mutant beginning_taken_for_whole internal/httphead/body.go \
