--- a/internal/serving/guarded.go
+++ b/internal/serving/guarded.go
@@ -64,7 +64,7 @@
 }
 
 // Reserve implements Reserver.
-func (s *GuardedSender) Reserve(ctx context.Context, wanted Reservation) (string, error) {
+func (s *GuardedSender) Reserve(ctx context.Context, wanted ReservationRequest) (string, error) {
 	if err := s.refuse(wanted.Attempt); err != nil {
 		return "", err
 	}
--- a/internal/serving/guarded_test.go
+++ b/internal/serving/guarded_test.go
@@ -125,7 +125,7 @@
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, serving.OutcomeNotRun, refused.Outcome)
 	require.Equal(t, serving.ReasonQuarantined, refused.Reason)
-	_, err = guarded.Reserve(t.Context(), serving.Reservation{Attempt: attempt, Tokens: 10})
+	_, err = guarded.Reserve(t.Context(), serving.ReservationRequest{Attempt: attempt, Tokens: 10})
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, sends, sender.sends)
 	require.Zero(t, sender.reserveCalls)
--- a/internal/serving/incarnation_test.go
+++ b/internal/serving/incarnation_test.go
@@ -23,7 +23,7 @@
 	restarted string
 }
 
-func (s *restartingScript) Reserve(ctx context.Context, wanted serving.Reservation) (string, error) {
+func (s *restartingScript) Reserve(ctx context.Context, wanted serving.ReservationRequest) (string, error) {
 	name, err := s.script.Reserve(ctx, wanted)
 	if err == nil && s.restarted == "" {
 		s.restarted = wanted.Instance.ID
--- a/internal/serving/preempt.go
+++ b/internal/serving/preempt.go
@@ -11,12 +11,12 @@
 type preemption uint8
 
 const (
-	// preemptNothing allows free slots only.
+	// preemptNothing allows no preemption.
 	preemptNothing preemption = iota
-	// preemptWhereFull preempts an item at a backend without a free slot.
+	// preemptWhereFull allows preemption at backends without a free slot.
 	preemptWhereFull
-	// preemptAnywhere preempts an item at any backend: those that reported free slots had
-	// none.
+	// preemptAnywhere allows preemption at any backend. It is used after backends with a
+	// reported free slot turned out to have none.
 	preemptAnywhere
 )
 
--- a/internal/serving/reserve.go
+++ b/internal/serving/reserve.go
@@ -24,14 +24,15 @@
 type Reserver interface {
 	// Reserve reserves a slot and memory for the given tokens, for a limited time, and
 	// returns the reservation's name. An error is an *AttemptError with OutcomeNotRun.
-	Reserve(ctx context.Context, wanted Reservation) (string, error)
+	Reserve(ctx context.Context, wanted ReservationRequest) (string, error)
 }
 
-// Reservation is a request for a reservation at a backend.
-type Reservation struct {
+// ReservationRequest asks for a reservation at a backend.
+type ReservationRequest struct {
 	Attempt
 	Tokens int
-	Time   time.Duration
+	// Time is how long the reservation is valid.
+	Time time.Duration
 }
 
 // reserverFor returns the reserver for a service's backends and the longest time of a
@@ -49,8 +50,8 @@
 }
 
 // Reserve makes a reservation for an attempt, if the service takes reservations, and
-// stores its name in the attempt. It avoids that daemons with the same stale view of the
-// load choose the same slot. An error means that the backend has no free capacity or
+// stores its name in the attempt. It keeps daemons with the same stale view of the load
+// from choosing the same slot. An error means that the backend has no free capacity or
 // cannot be reached; the request has not run.
 func Reserve(ctx context.Context, sender Sender, table *route.Table, attempt *Attempt, tokens int) error {
 	reserver, longest, found := reserverFor(sender, table, attempt.Instance.Service)
@@ -59,7 +60,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
-	name, err := reserver.Reserve(bounded, Reservation{Attempt: *attempt, Tokens: tokens, Time: min(reservationTime, longest)})
+	name, err := reserver.Reserve(bounded, ReservationRequest{Attempt: *attempt, Tokens: tokens, Time: min(reservationTime, longest)})
 	attempt.Reservation = name
 	return err
 }
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -96,7 +96,7 @@
 }
 
 // Reserve makes a reservation unless the script refuses it.
-func (s *script) Reserve(_ context.Context, wanted serving.Reservation) (string, error) {
+func (s *script) Reserve(_ context.Context, wanted serving.ReservationRequest) (string, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	refusal := serving.Reason("")
@@ -358,9 +358,9 @@
 	return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonRefused}
 }
 
-// TestNoBackendRefusesEarly checks that a request is refused with a retry-after time if
+// TestNoBackendRefusedWithRetryAfter checks that a request is refused with a retry-after time if
 // its service has no backend.
-func TestNoBackendRefusesEarly(t *testing.T) {
+func TestNoBackendRefusedWithRetryAfter(t *testing.T) {
 	caller := &recorder{}
 	sender := &script{ran: map[string]bool{}, lastSeen: caller}
 	policy := &route.Route{Kind: route.KindOnce, Timeout: time.Minute, Objective: 200 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "none"}}}
@@ -379,7 +379,7 @@
 	removed bool
 }
 
-func (s *removingScript) Reserve(ctx context.Context, wanted serving.Reservation) (string, error) {
+func (s *removingScript) Reserve(ctx context.Context, wanted serving.ReservationRequest) (string, error) {
 	name, err := s.script.Reserve(ctx, wanted)
 	if err == nil && !s.removed {
 		s.removed = true
--- a/internal/serving/suspend_test.go
+++ b/internal/serving/suspend_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestNotSentWhenDeadlinePassedDuringSuspension checks that such a request is not sent and
-// is refused as not run.
+// TestNotSentWhenDeadlinePassedDuringSuspension checks that a request whose deadline passes
+// while the machine is suspended is not sent and is refused as not run.
 func TestNotSentWhenDeadlinePassedDuringSuspension(t *testing.T) {
 	for _, span := range []time.Duration{5 * time.Second, time.Minute} {
 		sender := &suspendingSender{beforeSend: span}
