--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -40,7 +40,7 @@
 	restore
 }
 
-replace internal/serving/exchange.go 'if !isAllowed {' 'if isAllowed == e.begun && e.begun {'
+replace internal/serving/exchange.go 'if !isAllowed {' 'if isAllowed == e.hasBegun && e.hasBegun {'
 soak no_not_run_rule
 
 replace internal/serving/exchange.go 'LastEvent: e.lastEvent, Stream:' 'LastEvent: 0, Stream:'
