--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -109,7 +109,7 @@
 // told to all daemons; nothing is stored.
 func (d *Daemon) newQuarantine(metrics *telemetry.Metrics) *quarantine.Guard {
 	policy := quarantine.Policy{Crashes: d.settings.QuarantineCrashes, Time: time.Duration(d.settings.QuarantineTime)}
-	spreader := quarantine.NewClusterSpreader(d.node, nil, d.log)
+	spreader := quarantine.NewClusterPublisher(d.node, nil, d.log)
 	guard := quarantine.NewGuard(policy, spreader, telemetry.NewQuarantine(metrics.Registry), d.log)
 	spreader.Listen(guard)
 	return guard
--- a/internal/frontend/quarantine.go
+++ b/internal/frontend/quarantine.go
@@ -24,7 +24,7 @@
 func (f *Frontend) addQuarantine(metrics *telemetry.Quarantine) {
 	policy := quarantine.Policy{Crashes: f.settings.QuarantineCrashes, Time: time.Duration(f.settings.QuarantineTime)}
 	f.recorder = quarantine.NewRecorder(f.store, f.log)
-	spreader := quarantine.NewClusterSpreader(f.node, f.recorder, f.log)
+	spreader := quarantine.NewClusterPublisher(f.node, f.recorder, f.log)
 	f.Quarantine = quarantine.NewGuard(policy, spreader, metrics, f.log)
 	spreader.Listen(f.Quarantine)
 }
--- a/internal/quarantine/admin.go
+++ b/internal/quarantine/admin.go
@@ -11,25 +11,25 @@
 	"topazpulley/internal/failure"
 )
 
-// PathAdmin is where a daemon lists what is quarantined (GET) and, behind it and a
-// fingerprint, lifts a quarantine by hand (DELETE).
+// PathAdmin is the path that lists the quarantined requests (GET). DELETE on
+// PathAdmin/FINGERPRINT lifts the quarantine of one request.
 const PathAdmin = "/v1/operator/quarantine"
 
-// Entry is one request that is quarantined.
+// Entry describes one quarantined request.
 type Entry struct {
 	Fingerprint string `json:"fingerprint"`
-	// Backends are the ids of the backends that ended under it.
+	// Backends are the ids of the backends that crashed while they ran it.
 	Backends []string  `json:"backends"`
 	Since    time.Time `json:"since"`
 	Until    time.Time `json:"until"`
 }
 
-// Listing is all that a daemon holds quarantined, the latest first.
+// Listing holds the requests that a daemon has quarantined, the latest first.
 type Listing struct {
 	Quarantined []Entry `json:"quarantined"`
 }
 
-// List returns all requests that are quarantined.
+// List returns all quarantined requests, the latest first.
 func (g *Guard) List() Listing {
 	listing := Listing{Quarantined: []Entry{}}
 	for _, verdict := range g.Verdicts() {
@@ -40,20 +40,20 @@
 	return listing
 }
 
-// LiftNamed lifts the quarantine of a fingerprint as logs carry it.
+// LiftNamed lifts the quarantine of a fingerprint in hexadecimal form.
 func (g *Guard) LiftNamed(text string) error {
 	fingerprint, err := ParseFingerprint(text)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInvalid, "bad_fingerprint", "give the fingerprint as logs and the list show it")
+		return failure.Wrap(err, failure.KindInvalid, "bad_fingerprint", "fingerprint must be given as in the logs and the listing")
 	}
 	if !g.Lift(fingerprint) {
-		return failure.New(failure.KindNotFound, "not_quarantined", "nothing is known against %s", text)
+		return failure.New(failure.KindNotFound, "not_quarantined", "no crash evidence for %s", text)
 	}
 	return nil
 }
 
-// Operate answers an operator's call behind either door: it lifts the quarantine that
-// a DELETE names, and lists what is quarantined then.
+// Operate answers an operator's call: a DELETE lifts the quarantine that the path names.
+// It returns the requests that are still quarantined.
 func (g *Guard) Operate(isDelete bool, path string) (Listing, error) {
 	if isDelete {
 		if err := g.LiftNamed(strings.TrimPrefix(path, PathAdmin+"/")); err != nil {
@@ -63,7 +63,7 @@
 	return g.List(), nil
 }
 
-// AdminHandler answers operators' calls whose bearer token is the key.
+// AdminHandler returns a handler for operators' calls. The bearer token must be the key.
 func AdminHandler(guard *Guard, key string) fasthttp.RequestHandler {
 	return func(call *fasthttp.RequestCtx) {
 		token := strings.TrimPrefix(string(call.Request.Header.Peek("Authorization")), "Bearer ")
@@ -76,20 +76,20 @@
 			refuse(call, failure.From(err))
 			return
 		}
-		answer(call, fasthttp.StatusOK, listing)
+		respond(call, fasthttp.StatusOK, listing)
 	}
 }
 
-// errorBody is the body of a refused call.
+// errorBody is the response body of a refused call.
 type errorBody struct {
 	Error *failure.Error `json:"error"`
 }
 
 func refuse(call *fasthttp.RequestCtx, refusal *failure.Error) {
-	answer(call, refusal.Status(), errorBody{Error: refusal})
+	respond(call, refusal.Status(), errorBody{Error: refusal})
 }
 
-func answer(call *fasthttp.RequestCtx, status int, body any) {
+func respond(call *fasthttp.RequestCtx, status int, body any) {
 	content, err := json.Marshal(body)
 	if err != nil {
 		call.SetStatusCode(fasthttp.StatusInternalServerError)
--- a/internal/quarantine/cluster.go
+++ b/internal/quarantine/cluster.go
@@ -10,32 +10,31 @@
 )
 
 const (
-	// keyEvidence stands before the name of the daemon that tells of backends that
-	// ended under requests.
+	// keyEvidence is the hint key's prefix; the name of the sending daemon follows.
 	keyEvidence = "crash-evidence/"
-	// evidencePerNotice bounds a datagram: at 40 to 60 bytes for each piece of
-	// evidence it stays below 1,200.
+	// evidencePerNotice limits a datagram to less than 1,200 bytes: each piece of
+	// evidence takes 40 to 60.
 	evidencePerNotice = 16
 )
 
-// ClusterSpreader tells all daemons of a fleet directly, whatever its size: backends
-// end seldom, and the next call of the same request may come to any daemon.
-type ClusterSpreader struct {
+// ClusterPublisher sends notices directly to every daemon of the fleet, whatever its size:
+// the same request may next arrive at any of them.
+type ClusterPublisher struct {
 	node     *cluster.Node
 	recorder *Recorder
 	log      *slog.Logger
 }
 
-var _ Spreader = (*ClusterSpreader)(nil)
+var _ Publisher = (*ClusterPublisher)(nil)
 
-// NewClusterSpreader returns a spreader over the node, which must not run yet. The
-// recorder writes to the store; nil means that nothing is written.
-func NewClusterSpreader(node *cluster.Node, recorder *Recorder, log *slog.Logger) *ClusterSpreader {
-	return &ClusterSpreader{node: node, recorder: recorder, log: log}
+// NewClusterPublisher returns a publisher over the node, which must not run yet. The
+// recorder writes evidence to the store; nil means that nothing is written.
+func NewClusterPublisher(node *cluster.Node, recorder *Recorder, log *slog.Logger) *ClusterPublisher {
+	return &ClusterPublisher{node: node, recorder: recorder, log: log}
 }
 
-// Listen has the guard hear what other daemons tell.
-func (s *ClusterSpreader) Listen(guard *Guard) {
+// Listen passes the notices of other daemons to the guard.
+func (s *ClusterPublisher) Listen(guard *Guard) {
 	s.node.Subscribe(func(event membership.Event) {
 		if event.Kind != membership.EventHint || !strings.HasPrefix(event.Item.Key, keyEvidence) {
 			return
@@ -49,33 +48,33 @@
 	})
 }
 
-// Spread implements Spreader.
-func (s *ClusterSpreader) Spread(notice Notice) {
+// Publish implements Publisher.
+func (s *ClusterPublisher) Publish(notice Notice) {
 	if s.recorder != nil {
 		s.recorder.Write(notice.Evidence)
 	}
-	s.Tell(notice)
+	s.Notify(notice)
 }
 
-// Tell implements Spreader.
-func (s *ClusterSpreader) Tell(notice Notice) {
+// Notify implements Publisher.
+func (s *ClusterPublisher) Notify(notice Notice) {
 	for start := 0; start < len(notice.Evidence); start += evidencePerNotice {
-		s.tellAll(Notice{Evidence: notice.Evidence[start:min(start+evidencePerNotice, len(notice.Evidence))]})
+		s.notifyAll(Notice{Evidence: notice.Evidence[start:min(start+evidencePerNotice, len(notice.Evidence))]})
 	}
 	if len(notice.Cleared) > 0 {
-		s.tellAll(Notice{Cleared: notice.Cleared})
+		s.notifyAll(Notice{Cleared: notice.Cleared})
 	}
 }
 
-// Withdraw implements Spreader.
-func (s *ClusterSpreader) Withdraw(keys []RowKey) {
+// Withdraw implements Publisher.
+func (s *ClusterPublisher) Withdraw(keys []RowKey) {
 	if s.recorder != nil {
 		s.recorder.Remove(keys)
 	}
 }
 
-// tellAll sends a notice to every other daemon.
-func (s *ClusterSpreader) tellAll(notice Notice) {
+// notifyAll sends a notice to every other daemon.
+func (s *ClusterPublisher) notifyAll(notice Notice) {
 	payload, err := EncodeNotice(notice)
 	if err != nil {
 		s.log.Error("evidence_not_encoded", "error", err)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -9,22 +9,22 @@
 	"topazpulley/internal/avrocodec"
 )
 
-// Evidence is one backend that ended while a request was in flight there.
+// Evidence records that a backend crashed while a request was in flight there.
 type Evidence struct {
 	Fingerprint Fingerprint
-	// Instance names the life of the backend that ended: two lives of one id are two
-	// ends.
+	// Instance identifies the incarnation of the backend: crashes of two incarnations
+	// of one id count separately.
 	Instance string
-	// HadOutput tells that the run had given output before the backend ended.
+	// HadOutput is true if the request had produced output before the crash.
 	HadOutput bool
-	// At is when it was seen, by the time of day of the daemon that saw it.
+	// At is the wall-clock time of the daemon that observed the crash.
 	At time.Time
 }
 
-// Notice is what a daemon tells the others.
+// Notice is the message that daemons send to each other.
 type Notice struct {
 	Evidence []Evidence
-	// Cleared are fingerprints whose evidence stands no more.
+	// Cleared are fingerprints whose evidence was withdrawn.
 	Cleared []Fingerprint
 }
 
@@ -50,11 +50,11 @@
 		{"name":"cleared","type":{"type":"array","items":"bytes"}}]}`)
 )
 
-// BadFingerprintError tells that a message holds a fingerprint of another length.
+// BadFingerprintError reports a fingerprint of the wrong length. Length is in bytes.
 type BadFingerprintError struct{ Length int }
 
 // Error implements error.
-func (e *BadFingerprintError) Error() string { return "a fingerprint has another length" }
+func (e *BadFingerprintError) Error() string { return "fingerprint has the wrong length" }
 
 func fingerprintFrom(content []byte) (Fingerprint, error) {
 	if len(content) != fingerprintBytes {
@@ -75,7 +75,7 @@
 	return Evidence{Fingerprint: fingerprint, Instance: r.Instance, HadOutput: r.HadOutput, At: time.UnixMilli(r.AtMilliseconds)}, nil
 }
 
-// encodeEvidence encodes evidence as the value of a row.
+// encodeEvidence returns evidence as the value of a row.
 func encodeEvidence(evidence Evidence) ([]byte, error) {
 	content, err := avro.Marshal(evidenceSchema, evidence.record())
 	return content, errors.WithStack(err)
@@ -89,7 +89,7 @@
 	return record.evidence()
 }
 
-// EncodeNotice encodes a notice for another daemon.
+// EncodeNotice encodes a notice as the payload of a hint.
 func EncodeNotice(notice Notice) ([]byte, error) {
 	record := noticeRecord{Evidence: []evidenceRecord{}, Cleared: [][]byte{}}
 	for _, each := range notice.Evidence {
@@ -102,7 +102,7 @@
 	return content, errors.WithStack(err)
 }
 
-// DecodeNotice decodes what EncodeNotice made.
+// DecodeNotice decodes the output of EncodeNotice.
 func DecodeNotice(content []byte) (Notice, error) {
 	var record noticeRecord
 	if err := avrocodec.Unmarshal(noticeSchema, content, &record); err != nil {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,4 +1,8 @@
-// Package quarantine keeps requests from backends that end whoever runs them.
+// Package quarantine stops requests that crash the backends that run them.
+//
+// A Guard collects crash evidence by request fingerprint: from this daemon, from other
+// daemons and from the store. A request with enough evidence is quarantined for a limited
+// time; a success of the same request withdraws its evidence.
 package quarantine
 
 import (
@@ -10,21 +14,20 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprintBytes is the length of a fingerprint: 128 bits of a cryptographic
-// digest, so that no caller can make a request that is taken for another's.
+// fingerprintBytes is the length of a fingerprint: 128 bits of a cryptographic digest,
+// so that callers cannot construct a collision.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request by its content: requests that callers send
-// again under new ids have the same one. It stands for the body in logs and in
-// other daemons' memory.
+// Fingerprint identifies a request by its content, whatever its id. Logs and messages
+// carry it instead of the body.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a request. The caller is the name of
-// the tenant, empty where callers are not known.
+// FingerprintOf returns the fingerprint of a request. The caller is the tenant's name,
+// or empty if it is unknown.
 func FingerprintOf(method, target, caller string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{method, target, caller} {
-		// Lengths keep parts apart: without them, "ab" and "c" would be "a" and "bc".
+		// Length prefixes distinguish "ab", "c" from "a", "bc".
 		var length [4]byte
 		binary.BigEndian.PutUint32(length[:], uint32(len(part)))
 		_, _ = digest.Write(length[:]) // a digest never fails to write
@@ -34,10 +37,10 @@
 	return Fingerprint(digest.Sum(nil)[:fingerprintBytes])
 }
 
-// String returns the fingerprint in hexadecimal, as logs and rows carry it.
+// String returns the fingerprint in hexadecimal, the form in logs and row keys.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	content, err := hex.DecodeString(text)
 	if err != nil {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	base := FingerprintOf("POST", "/a/1", "caller", []byte("body"))
 	require.Equal(t, base, FingerprintOf("POST", "/a/1", "caller", []byte("body")))
 	require.NotEqual(t, base, FingerprintOf("GET", "/a/1", "caller", []byte("body")))
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -9,64 +9,63 @@
 	"topazpulley/internal/telemetry"
 )
 
-// Source tells where evidence came from.
+// Source is the origin of evidence.
 type Source string
 
 // The sources of evidence.
 const (
-	// SourceSelf is an end that this daemon saw.
+	// SourceSelf is a crash that this daemon observed.
 	SourceSelf Source = "self"
-	// SourcePeer is a datagram of another daemon.
+	// SourcePeer is a notice from another daemon.
 	SourcePeer Source = "peer"
-	// SourceStore is a row of the followed table.
+	// SourceStore is a row of the evidence table.
 	SourceStore Source = "store"
-	// SourceOperator is a person.
+	// SourceOperator is an operator's call.
 	SourceOperator Source = "operator"
 )
 
-// Spreader carries what this daemon has learnt to the others and to the store.
-// It must not block.
-type Spreader interface {
-	// Spread tells the others and has evidence stored.
-	Spread(notice Notice)
-	// Tell tells the others only.
-	Tell(notice Notice)
+// Publisher sends this daemon's evidence to other daemons and to the store. Its methods
+// must not block.
+type Publisher interface {
+	// Publish sends a notice to the other daemons and stores its evidence.
+	Publish(notice Notice)
+	// Notify sends a notice to the other daemons without storing it.
+	Notify(notice Notice)
 	// Withdraw removes evidence from the store.
 	Withdraw(keys []RowKey)
 }
 
-// Guard decides which requests may reach backends. All daemons decide by the
-// same evidence: what one sees is told to all others at once, and kept in the
-// store for those that are cut off or start later. It is safe for concurrent
-// use.
+// Guard decides which requests may be sent to backends. Evidence is published to all
+// daemons at once, and stored for those that are unreachable or start later, so that all
+// reach the same verdicts. It is safe for concurrent use.
 type Guard struct {
-	// Clock counts the time since good ends; nil is the system's. It is set before use.
+	// Clock measures the time since successes; nil is the system's clock. Set before use.
 	Clock boottime.Clock
 
-	log     *slog.Logger
-	metrics *telemetry.Quarantine
-	spread  Spreader
+	log       *slog.Logger
+	metrics   *telemetry.Quarantine
+	publisher Publisher
 
-	// mutex guards ledger and successes. Nothing is spread while it is held.
+	// mutex guards ledger and successes. It is not locked while the publisher is called.
 	mutex     sync.Mutex
 	ledger    *Ledger
 	successes *successes
 }
 
-// NewGuard returns a guard without evidence. The spreader may be nil: the daemon
-// is then alone.
-func NewGuard(policy Policy, spread Spreader, metrics *telemetry.Quarantine, log *slog.Logger) *Guard {
-	return &Guard{log: log, metrics: metrics, spread: spread, ledger: NewLedger(policy), successes: newSuccesses()}
+// NewGuard returns a guard without evidence. A nil publisher means that evidence stays in
+// this daemon.
+func NewGuard(policy Policy, publisher Publisher, metrics *telemetry.Quarantine, log *slog.Logger) *Guard {
+	return &Guard{log: log, metrics: metrics, publisher: publisher, ledger: NewLedger(policy), successes: newSuccesses()}
 }
 
-// Verdict reports whether a request must not reach backends.
+// Verdict reports whether a request is quarantined, and why.
 func (g *Guard) Verdict(fingerprint Fingerprint) (Verdict, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.ledger.Verdict(fingerprint, time.Now())
 }
 
-// Verdicts returns all requests that are quarantined, the latest first.
+// Verdicts returns the verdicts of all quarantined requests, the latest first.
 func (g *Guard) Verdicts() []Verdict {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -76,33 +75,32 @@
 // Run is one request that was in flight at a backend.
 type Run struct {
 	Fingerprint Fingerprint
-	// HadOutput tells that the run had given output.
+	// HadOutput is true if the request had produced output.
 	HadOutput bool
 }
 
-// Crashed records that a backend ended while these requests were in flight
-// there.
+// Crashed records that a backend crashed while these requests were in flight there.
 func (g *Guard) Crashed(instance string, runs []Run) {
 	now := time.Now()
-	held, excused := Notice{}, Notice{}
+	counted, excused := Notice{}, Notice{}
 	for _, run := range runs {
 		evidence := Evidence{Fingerprint: run.Fingerprint, Instance: instance, HadOutput: run.HadOutput, At: now}
 		if g.add(evidence, SourceSelf) {
 			excused.Evidence = append(excused.Evidence, evidence)
 			continue
 		}
-		held.Evidence = append(held.Evidence, evidence)
+		counted.Evidence = append(counted.Evidence, evidence)
 	}
-	g.send(held)
-	// The others hear of excused ends too: they also may know of good ends, which must
-	// not speak against another wave there.
-	g.tell(excused)
+	g.publish(counted)
+	// Other daemons need excused crashes too: the successes that they have recorded must
+	// not excuse another crash group.
+	g.notify(excused)
 	for _, evidence := range excused.Evidence {
 		g.excuse(evidence, SourceSelf)
 	}
 }
 
-// Receive takes in what another daemon tells, or what the store holds.
+// Receive applies a notice from another daemon or from the store.
 func (g *Guard) Receive(notice Notice, source Source) {
 	for _, fingerprint := range notice.Cleared {
 		g.clear(fingerprint, source)
@@ -118,15 +116,14 @@
 	}
 }
 
-// add takes evidence in and reports whether a good end of the same request speaks
-// against it.
+// add records evidence and reports whether a recent success of the request excuses it.
 func (g *Guard) add(evidence Evidence, source Source) bool {
 	now := time.Now()
 	age := now.Sub(evidence.At)
 	g.mutex.Lock()
-	_, wasHeld := g.ledger.Verdict(evidence.Fingerprint, now)
+	_, wasQuarantined := g.ledger.Verdict(evidence.Fingerprint, now)
 	isNew := g.ledger.Add(evidence, source == SourceStore)
-	verdict, isHeld := g.ledger.Verdict(evidence.Fingerprint, now)
+	verdict, isQuarantined := g.ledger.Verdict(evidence.Fingerprint, now)
 	hasSucceeded := g.successes.has(evidence.Fingerprint, g.Clock.Now())
 	isExcused := g.successes.excuses(evidence, age, g.Clock.Now())
 	g.mutex.Unlock()
@@ -136,7 +133,7 @@
 	g.metrics.Evidence.WithLabelValues(string(source)).Inc()
 	g.log.Info("crash_evidence", "fingerprint", evidence.Fingerprint.String(), "backend", evidence.Instance, "had_output", evidence.HadOutput,
 		"age_ms", age.Milliseconds(), "source", string(source), "succeeded_lately", hasSucceeded, "excused", isExcused)
-	if isHeld && !wasHeld && !isExcused {
+	if isQuarantined && !wasQuarantined && !isExcused {
 		g.log.Warn("request_quarantined", "fingerprint", evidence.Fingerprint.String(), "backends", verdict.Instances,
 			"source", string(source), "until", verdict.Until.UTC().Format(time.RFC3339))
 		g.metrics.Quarantined.Inc()
@@ -144,7 +141,7 @@
 	return isExcused
 }
 
-// excuse takes back one piece of evidence, against which a good end speaks.
+// excuse withdraws one piece of evidence that a recent success excuses.
 func (g *Guard) excuse(evidence Evidence, source Source) {
 	g.mutex.Lock()
 	isRemoved := g.ledger.Remove(evidence.Fingerprint, evidence.Instance)
@@ -154,28 +151,27 @@
 		return
 	}
 	g.log.Info("evidence_withdrawn", "fingerprint", evidence.Fingerprint.String(), "backends", []string{evidence.Instance}, "reason", "succeeded_before")
-	if g.spread != nil && source != SourceSelf { // what was excused here was not stored
-		g.spread.Withdraw([]RowKey{{Fingerprint: evidence.Fingerprint, Instance: evidence.Instance}})
+	if g.publisher != nil && source != SourceSelf { // own excused evidence is not stored
+		g.publisher.Withdraw([]RowKey{{Fingerprint: evidence.Fingerprint, Instance: evidence.Instance}})
 	}
-	if !isSuspect { // the message clears all evidence
-		g.send(Notice{Cleared: []Fingerprint{evidence.Fingerprint}})
+	if !isSuspect { // the notice clears all evidence of the request
+		g.publish(Notice{Cleared: []Fingerprint{evidence.Fingerprint}})
 	}
 }
 
-// Succeeded records that a run of a request came to a good end: a request that
-// ends whoever runs it never does, so all evidence against it falls.
+// Succeeded records a success of a request and withdraws all evidence against it.
 func (g *Guard) Succeeded(fingerprint Fingerprint) {
 	g.mutex.Lock()
-	g.successes.note(fingerprint, g.Clock.Now())
+	g.successes.record(fingerprint, g.Clock.Now())
 	isSuspect := g.ledger.IsSuspect(fingerprint)
 	g.mutex.Unlock()
 	if isSuspect {
-		g.exonerate(fingerprint, "succeeded")
+		g.withdrawAll(fingerprint, "succeeded")
 	}
 }
 
-// exonerate takes back all evidence against a request, everywhere.
-func (g *Guard) exonerate(fingerprint Fingerprint, reason string) {
+// withdrawAll withdraws all evidence against a request, here and at other daemons.
+func (g *Guard) withdrawAll(fingerprint Fingerprint, reason string) {
 	g.mutex.Lock()
 	instances := g.ledger.Clear(fingerprint)
 	g.mutex.Unlock()
@@ -183,22 +179,23 @@
 		return
 	}
 	g.log.Info("evidence_withdrawn", "fingerprint", fingerprint.String(), "backends", instances, "reason", reason)
-	g.withdraw(fingerprint, instances)
+	g.publishWithdrawal(fingerprint, instances)
 }
 
-func (g *Guard) withdraw(fingerprint Fingerprint, instances []string) {
-	if g.spread == nil {
+// publishWithdrawal removes evidence from the store and from other daemons.
+func (g *Guard) publishWithdrawal(fingerprint Fingerprint, instances []string) {
+	if g.publisher == nil {
 		return
 	}
 	keys := []RowKey{}
 	for _, instance := range instances {
 		keys = append(keys, RowKey{Fingerprint: fingerprint, Instance: instance})
 	}
-	g.spread.Withdraw(keys)
-	g.send(Notice{Cleared: []Fingerprint{fingerprint}})
+	g.publisher.Withdraw(keys)
+	g.publish(Notice{Cleared: []Fingerprint{fingerprint}})
 }
 
-// clear drops evidence that another daemon has withdrawn.
+// clear removes the evidence that another daemon has withdrawn.
 func (g *Guard) clear(fingerprint Fingerprint, source Source) {
 	g.mutex.Lock()
 	instances := g.ledger.Clear(fingerprint)
@@ -208,7 +205,8 @@
 	}
 }
 
-// Lift ends a quarantine by hand and reports whether there was evidence.
+// Lift withdraws all evidence against a request on an operator's call and reports whether
+// there was any.
 func (g *Guard) Lift(fingerprint Fingerprint) bool {
 	g.mutex.Lock()
 	instances := g.ledger.Clear(fingerprint)
@@ -217,12 +215,12 @@
 		return false
 	}
 	g.log.Warn("quarantine_lifted", "fingerprint", fingerprint.String(), "backends", instances, "source", string(SourceOperator))
-	g.withdraw(fingerprint, instances)
+	g.publishWithdrawal(fingerprint, instances)
 	return true
 }
 
-// Expire drops evidence that is too old to count, and has it removed from the
-// store if this daemon is the one to do so.
+// Expire removes expired evidence, and removes its rows from the store where isRemover
+// reports that this daemon is responsible for the fingerprint.
 func (g *Guard) Expire(isRemover func(Fingerprint) bool) {
 	g.mutex.Lock()
 	expired := g.ledger.Expire(time.Now())
@@ -234,22 +232,22 @@
 			keys = append(keys, RowKey{Fingerprint: each.Fingerprint, Instance: each.Instance})
 		}
 	}
-	if len(keys) > 0 && g.spread != nil {
-		g.spread.Withdraw(keys)
+	if len(keys) > 0 && g.publisher != nil {
+		g.publisher.Withdraw(keys)
 	}
 }
 
-// Refused counts an attempt that was not sent.
+// Refused counts an attempt that was not sent because its request is quarantined.
 func (g *Guard) Refused(service string) { g.metrics.Refused.WithLabelValues(service).Inc() }
 
-func (g *Guard) send(notice Notice) {
-	if g.spread != nil {
-		g.spread.Spread(notice)
+func (g *Guard) publish(notice Notice) {
+	if g.publisher != nil {
+		g.publisher.Publish(notice)
 	}
 }
 
-func (g *Guard) tell(notice Notice) {
-	if g.spread != nil {
-		g.spread.Tell(notice)
+func (g *Guard) notify(notice Notice) {
+	if g.publisher != nil {
+		g.publisher.Notify(notice)
 	}
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -14,19 +14,19 @@
 	"topazpulley/internal/telemetry"
 )
 
-// fleet is guards that tell each other everything, and a store that all follow.
+// fleet holds guards that exchange notices, and the rows of their store.
 type fleet struct {
 	guards []*Guard
 	rows   map[string][]byte
 }
 
-// member spreads what one guard has learnt.
+// member is the publisher of one guard.
 type member struct {
 	fleet *fleet
 	index int
 }
 
-func (m member) Spread(notice Notice) {
+func (m member) Publish(notice Notice) {
 	for _, each := range notice.Evidence {
 		content, err := encodeEvidence(each)
 		if err != nil {
@@ -34,21 +34,21 @@
 		}
 		m.fleet.rows[RowKey{Fingerprint: each.Fingerprint, Instance: each.Instance}.String()] = content
 	}
-	m.Tell(notice)
+	m.Notify(notice)
 }
 
-func (m member) Tell(notice Notice) {
+func (m member) Notify(notice Notice) {
 	content, err := EncodeNotice(notice)
 	if err != nil {
 		panic(err)
 	}
-	told, err := DecodeNotice(content)
+	received, err := DecodeNotice(content)
 	if err != nil {
 		panic(err)
 	}
 	for index, guard := range m.fleet.guards {
 		if index != m.index {
-			guard.Receive(told, SourcePeer)
+			guard.Receive(received, SourcePeer)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	return made
 }
 
-// stored is the table as a daemon that starts reads it.
+// stored returns the rows that a starting daemon reads.
 func (f *fleet) stored() []table.Row {
 	rows := []table.Row{}
 	for key, value := range f.rows {
@@ -82,110 +82,109 @@
 	return rows
 }
 
-func (f *fleet) held(fingerprint Fingerprint) int {
+func (f *fleet) quarantined(fingerprint Fingerprint) int {
 	count := 0
 	for _, guard := range f.guards {
-		if _, isHeld := guard.Verdict(fingerprint); isHeld {
+		if _, isQuarantined := guard.Verdict(fingerprint); isQuarantined {
 			count++
 		}
 	}
 	return count
 }
 
-// crash has backends end under a request, each seen by another daemon.
+// crash lets backends crash under a request, each observed by another daemon.
 func (f *fleet) crash(fingerprint Fingerprint, count int) {
 	for number := range count {
 		f.guards[number%len(f.guards)].Crashed(fmt.Sprintf("i%d", number), []Run{{Fingerprint: fingerprint}})
 	}
 }
 
-// TestAllDaemonsDecideAlike: also one that starts later, from the store.
-func TestAllDaemonsDecideAlike(t *testing.T) {
+// TestAllDaemonsQuarantine guards against a daemon without the quarantine, also one that
+// starts later and reads the store.
+func TestAllDaemonsQuarantine(t *testing.T) {
 	f, culprit := newFleet(5), numbered(1)
 	f.crash(culprit, 3)
-	require.Equal(t, 5, f.held(culprit))
+	require.Equal(t, 5, f.quarantined(culprit))
 	late := f.add()
 	late.Replace(f.stored(), 1)
-	_, isHeld := late.Verdict(culprit)
-	require.True(t, isHeld)
+	_, isQuarantined := late.Verdict(culprit)
+	require.True(t, isQuarantined)
 }
 
-// TestGoodEndTakesTheQuarantineBack: everywhere and in the store.
-func TestGoodEndTakesTheQuarantineBack(t *testing.T) {
+// TestSuccessLiftsQuarantine checks that a success clears all daemons and the store.
+func TestSuccessLiftsQuarantine(t *testing.T) {
 	f, innocent := newFleet(4), numbered(1)
 	f.crash(innocent, 3)
-	require.Equal(t, 4, f.held(innocent))
+	require.Equal(t, 4, f.quarantined(innocent))
 	f.guards[2].Succeeded(innocent)
-	require.Zero(t, f.held(innocent))
+	require.Zero(t, f.quarantined(innocent))
 	require.Empty(t, f.rows)
 }
 
-// TestRequestThatSucceedsElsewhereIsNeverQuarantined: many callers send the same
-// request; a wave ends six backends at one moment, and it was in flight at all of
-// them.
-func TestRequestThatSucceedsElsewhereIsNeverQuarantined(t *testing.T) {
+// TestRecentSuccessExcusesSimultaneousCrashes guards against the quarantine of a popular
+// request that was in flight at six backends when these crashed together.
+func TestRecentSuccessExcusesSimultaneousCrashes(t *testing.T) {
 	f, popular := newFleet(4), numbered(1)
 	f.guards[1].Succeeded(popular)
 	f.crash(popular, 6)
-	require.Zero(t, f.held(popular))
+	require.Zero(t, f.quarantined(popular))
 	require.Empty(t, f.rows)
 }
 
-// TestGoodEndsOfLongAgoProveNothing: a change of the model may turn a request bad.
-func TestGoodEndsOfLongAgoProveNothing(t *testing.T) {
+// TestSuccessesExpire checks that old successes excuse nothing: the model may have changed.
+func TestSuccessesExpire(t *testing.T) {
 	known, popular, start := newSuccesses(), numbered(1), boottime.Now()
-	known.note(popular, start)
+	known.record(popular, start)
 	require.True(t, known.has(popular, start.Add(successTime-time.Millisecond)))
 	require.False(t, known.has(popular, start.Add(2*successTime)))
 	for number := range 10 * maxSuccesses {
-		known.note(numbered(number), start)
+		known.record(numbered(number), start)
 	}
 	require.LessOrEqual(t, len(known.newer)+len(known.older), 2*maxSuccesses)
 }
 
-// TestGoodEndsBeforeASleepProveNothing: the machine of a daemon that saw a good end
-// sleeps, and when it wakes the request ends backends under it. It saw the good end a
-// minute ago, and only its own steady clock says that this was just now.
-func TestGoodEndsBeforeASleepProveNothing(t *testing.T) {
-	for span, isHeld := range map[time.Duration]bool{time.Second: false, 5 * time.Second: false, 2 * successTime: true, time.Minute: true} {
+// TestSuccessesExpireDuringSleep checks that system sleep counts towards the age of a
+// success.
+func TestSuccessesExpireDuringSleep(t *testing.T) {
+	for span, isQuarantined := range map[time.Duration]bool{time.Second: false, 5 * time.Second: false, 2 * successTime: true, time.Minute: true} {
 		t.Run(span.String(), func(t *testing.T) {
 			f, content, slept := newFleet(3), numbered(1), time.Duration(0)
 			f.guards[1].Clock = func() boottime.Instant { return boottime.Now().Add(slept) }
 			f.guards[1].Succeeded(content)
 			slept = span
 			f.crash(content, 3)
-			require.Equal(t, isHeld, f.held(content) == 3)
+			require.Equal(t, isQuarantined, f.quarantined(content) == 3)
 		})
 	}
 }
 
-func TestLiftByHand(t *testing.T) {
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	f, innocent := newFleet(3), numbered(1)
 	f.crash(innocent, 3)
 	require.True(t, f.guards[1].Lift(innocent))
 	require.False(t, f.guards[1].Lift(innocent))
-	require.Zero(t, f.held(innocent))
+	require.Zero(t, f.quarantined(innocent))
 	require.Empty(t, f.rows)
 }
 
-// TestRemovedRowsReachDaemonsThatWereNotTold: datagrams are lost now and then.
-func TestRemovedRowsReachDaemonsThatWereNotTold(t *testing.T) {
+// TestRemovedRowsClearEvidence covers a daemon that did not receive the notice.
+func TestRemovedRowsClearEvidence(t *testing.T) {
 	f, innocent := newFleet(1), numbered(1)
 	f.crash(innocent, 3)
 	other := newFleet(1).guards[0]
 	rows := f.stored()
 	other.Replace(rows, 1)
-	_, isHeld := other.Verdict(innocent)
-	require.True(t, isHeld)
+	_, isQuarantined := other.Verdict(innocent)
+	require.True(t, isQuarantined)
 	for index := range rows {
 		rows[index].Deleted, rows[index].Value = true, nil
 	}
 	other.Change(rows, 2)
-	_, isHeld = other.Verdict(innocent)
-	require.False(t, isHeld)
+	_, isQuarantined = other.Verdict(innocent)
+	require.False(t, isQuarantined)
 }
 
-func TestUnreadableEvidenceIsPassedOver(t *testing.T) {
+func TestUnreadableEvidenceIsSkipped(t *testing.T) {
 	guard := newFleet(1).guards[0]
 	guard.Change([]table.Row{{Key: "x", Value: []byte("y")}, {Key: "z/1", Deleted: true}}, 1)
 	require.Empty(t, guard.Verdicts())
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -7,93 +7,88 @@
 	"time"
 )
 
-// Policy says when a request is quarantined and for how long.
+// Policy configures when a request is quarantined and for how long.
 type Policy struct {
-	// Crashes is how many backends must have ended under a request, none of whose
-	// runs came to a good end meanwhile. One is no evidence: whatever ran beside the
-	// request saw the same end.
+	// Crashes is the number of backends that must have crashed under a request without a
+	// success in between. One is not enough: other requests were in flight there too.
 	Crashes int
-	// Time is how long a request stays quarantined after the latest of them. It then
-	// may run again, and one more end quarantines it anew.
+	// Time is the duration of the quarantine after the latest crash. Afterwards one more
+	// crash quarantines the request again.
 	Time time.Duration
 }
 
 const (
-	// evidenceTime is how long evidence counts: several times the quarantine, so
-	// that a request which comes back after it ends one backend and not as many as
-	// the first time.
+	// evidenceTime is the lifetime of evidence. It is longer than the quarantine, so that
+	// a request that is sent again afterwards is quarantined after one crash.
 	evidenceTime = time.Hour
-	// maxSuspects bounds the fingerprints that are remembered, at about 300 bytes
-	// each: some 1 MB. Beyond it the one with the least evidence goes, and among
-	// these the one whose evidence is oldest: a flood of requests that each end one
-	// backend does not push out what is quarantined.
+	// maxSuspects is the maximum number of suspects, about 300 bytes each. The one with
+	// the least evidence is evicted first, and the oldest among equals, so that quarantined
+	// requests are kept.
 	maxSuspects = 4096
-	// A run that had given output counts half: requests that end their backends
-	// do so soon after they begin to run, while most that are cut beside them had
-	// been running. Requests that end theirs late are still found, with twice as many.
-	wholeWeight = 2
-	halfWeight  = 1
+	// A crash after the request had produced output counts half: requests that cause a
+	// crash mostly do so before their first output.
+	fullWeight = 2
+	halfWeight = 1
 )
 
-// crash is what is known of one backend that ended under a request.
+// crash describes the crash of one backend under a request.
 type crash struct {
 	at        time.Time
 	hadOutput bool
-	// isStored tells that the evidence was seen in the store.
+	// isStored is true if the evidence was received from the store.
 	isStored bool
 }
 
-// suspect is a request under which backends ended.
+// suspect is a request under which backends crashed.
 type suspect struct {
-	// crashes are by backend: each counts once, however many daemons saw it.
+	// crashes is keyed by backend incarnation: each counts once, however many daemons
+	// observed it.
 	crashes map[string]crash
-	// early is how many of them ended before the run had given output.
-	early  int
-	lastAt time.Time
+	// beforeOutput is the number of crashes before the request had produced output.
+	beforeOutput int
+	lastAt       time.Time
 }
 
-// Verdict tells why a request is quarantined.
+// Verdict describes why a request is quarantined.
 type Verdict struct {
 	Fingerprint Fingerprint
-	// Instances are the backends that ended under it, in the order of their ids.
+	// Instances are the backends that crashed under it, sorted.
 	Instances []string
-	// Since is when the latest of them ended, and Until when the request may run
-	// again.
+	// Since is the time of the latest crash, and Until the end of the quarantine.
 	Since time.Time
 	Until time.Time
 }
 
-// Ledger is the evidence of one daemon. It is not safe for concurrent use.
+// Ledger holds the evidence of one daemon. It is not safe for concurrent use.
 type Ledger struct {
 	policy   Policy
 	suspects map[Fingerprint]*suspect
-	// explained is by backend how many requests certainly ended it: those that are
-	// held for what they ended before they had given output. Such an end is not held
-	// against runs that had given output there: long ones are cut beside one culprit
-	// after the other, and would be taken for one. It is held against runs without
-	// output all the same, so that no culprit hides behind another.
-	explained map[string]int
+	// attributed is, by backend, the number of culprits that its crash is attributed to: the
+	// suspects with at least policy.Crashes crashes before their first output. An attributed
+	// crash does not count against requests that had produced output there. It still counts
+	// against requests without output, so that several culprits are found.
+	attributed map[string]int
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(policy Policy) *Ledger {
-	return &Ledger{policy: policy, suspects: map[Fingerprint]*suspect{}, explained: map[string]int{}}
+	return &Ledger{policy: policy, suspects: map[Fingerprint]*suspect{}, attributed: map[string]int{}}
 }
 
-// Add takes evidence in and reports whether it was new. isStored tells that it
-// stands in the store.
+// Add records evidence and reports whether it was new. isStored is true if it came from
+// the store.
 func (l *Ledger) Add(evidence Evidence, isStored bool) bool {
 	known, exists := l.suspects[evidence.Fingerprint]
 	if !exists {
-		l.makeRoom()
+		l.evict()
 		known = &suspect{crashes: map[string]crash{}}
 		l.suspects[evidence.Fingerprint] = known
 	}
 	added := crash{at: evidence.At, hadOutput: evidence.HadOutput, isStored: isStored}
 	earlier, isKnown := known.crashes[evidence.Instance]
 	if isKnown {
-		// Several requests of one fingerprint may have run there: one that had no
-		// output yet tells more.
+		// Several requests with this fingerprint may have been in flight there: one
+		// without output has precedence.
 		added.hadOutput = earlier.hadOutput && evidence.HadOutput
 		added.isStored = earlier.isStored || isStored
 		if earlier.at.Before(added.at) {
@@ -104,50 +99,51 @@
 	return !isKnown || added.hadOutput != earlier.hadOutput
 }
 
-// change applies a change to a suspect's crashes.
+// change modifies a suspect's crashes and updates what is derived from them.
 func (l *Ledger) change(known *suspect, apply func()) {
-	l.explain(known, -1)
+	l.attribute(known, -1)
 	apply()
-	known.sum()
-	l.explain(known, 1)
+	known.update()
+	l.attribute(known, 1)
 }
 
-// explain adds to how often the ends of a suspect's backends are explained by it.
-func (l *Ledger) explain(known *suspect, count int) {
-	if known.early < l.policy.Crashes {
+// attribute adds count to attributed for each backend that a culprit crashed before its
+// first output.
+func (l *Ledger) attribute(known *suspect, count int) {
+	if known.beforeOutput < l.policy.Crashes {
 		return
 	}
 	for instance, each := range known.crashes {
 		if each.hadOutput {
 			continue
 		}
-		l.explained[instance] += count
-		if l.explained[instance] == 0 {
-			delete(l.explained, instance)
+		l.attributed[instance] += count
+		if l.attributed[instance] == 0 {
+			delete(l.attributed, instance)
 		}
 	}
 }
 
-// weight is the evidence against a suspect.
+// weight returns the weight of the evidence against a suspect.
 func (l *Ledger) weight(known *suspect) int {
 	weight := 0
 	for instance, each := range known.crashes {
 		switch {
 		case !each.hadOutput:
-			weight += wholeWeight
-		case l.explained[instance] == 0:
+			weight += fullWeight
+		case l.attributed[instance] == 0:
 			weight += halfWeight
 		}
 	}
 	return weight
 }
 
-// sum adds up what does not depend on other suspects.
-func (s *suspect) sum() {
-	s.early, s.lastAt = 0, time.Time{}
+// update recalculates beforeOutput and lastAt.
+func (s *suspect) update() {
+	s.beforeOutput, s.lastAt = 0, time.Time{}
 	for _, each := range s.crashes {
 		if !each.hadOutput {
-			s.early++
+			s.beforeOutput++
 		}
 		if each.at.After(s.lastAt) {
 			s.lastAt = each.at
@@ -155,24 +151,24 @@
 	}
 }
 
-// makeRoom drops the suspect with the least evidence if there are too many.
-func (l *Ledger) makeRoom() {
+// evict removes the suspect with the least evidence if there are maxSuspects.
+func (l *Ledger) evict() {
 	if len(l.suspects) < maxSuspects {
 		return
 	}
 	var least *suspect
-	var leastOf Fingerprint
+	var evicted Fingerprint
 	leastWeight := 0
 	for fingerprint, each := range l.suspects {
 		weight := l.weight(each)
 		if least == nil || weight < leastWeight || (weight == leastWeight && each.lastAt.Before(least.lastAt)) {
-			least, leastOf, leastWeight = each, fingerprint, weight
+			least, evicted, leastWeight = each, fingerprint, weight
 		}
 	}
-	l.Clear(leastOf)
+	l.Clear(evicted)
 }
 
-// Remove takes back the evidence of one backend and reports whether there was any.
+// Remove removes the evidence of one backend and reports whether there was any.
 func (l *Ledger) Remove(fingerprint Fingerprint, instance string) bool {
 	known, exists := l.suspects[fingerprint]
 	if !exists {
@@ -186,14 +182,14 @@
 	return isKnown
 }
 
-// Clear takes back all evidence against a request and returns the backends that
-// had ended under it.
+// Clear removes all evidence against a request and returns the backends that crashed
+// under it.
 func (l *Ledger) Clear(fingerprint Fingerprint) []string {
 	known, exists := l.suspects[fingerprint]
 	if !exists {
 		return nil
 	}
-	l.explain(known, -1)
+	l.attribute(known, -1)
 	delete(l.suspects, fingerprint)
 	return known.instances()
 }
@@ -207,13 +203,13 @@
 	return found
 }
 
-// IsSuspect reports whether backends ended under a request.
+// IsSuspect reports whether there is evidence against a request.
 func (l *Ledger) IsSuspect(fingerprint Fingerprint) bool { return l.suspects[fingerprint] != nil }
 
-// Verdict reports whether a request is quarantined.
+// Verdict reports whether a request is quarantined, and why.
 func (l *Ledger) Verdict(fingerprint Fingerprint, now time.Time) (Verdict, bool) {
 	known, exists := l.suspects[fingerprint]
-	if !exists || l.weight(known) < l.policy.Crashes*wholeWeight {
+	if !exists || l.weight(known) < l.policy.Crashes*fullWeight {
 		return Verdict{}, false
 	}
 	until := known.lastAt.Add(l.policy.Time)
@@ -223,11 +219,11 @@
 	return Verdict{Fingerprint: fingerprint, Instances: known.instances(), Since: known.lastAt, Until: until}, true
 }
 
-// Verdicts returns all that are quarantined, the latest first.
+// Verdicts returns the verdicts of all quarantined requests, the latest first.
 func (l *Ledger) Verdicts(now time.Time) []Verdict {
 	found := []Verdict{}
 	for fingerprint := range l.suspects {
-		if verdict, isHeld := l.Verdict(fingerprint, now); isHeld {
+		if verdict, isQuarantined := l.Verdict(fingerprint, now); isQuarantined {
 			found = append(found, verdict)
 		}
 	}
@@ -237,7 +233,7 @@
 	return found
 }
 
-// Expire drops evidence that is too old to count and returns it.
+// Expire removes the evidence that is older than evidenceTime and returns it.
 func (l *Ledger) Expire(now time.Time) []Evidence {
 	expired := []Evidence{}
 	for fingerprint, known := range l.suspects {
@@ -253,9 +249,8 @@
 	return expired
 }
 
-// RetainStored drops evidence that stood in the store before and is not among
-// what stands there now: others took it back. Evidence that has not been written
-// yet stays.
+// RetainStored removes evidence that was in the store and is not present there any more:
+// another daemon withdrew it. Evidence that has not been written yet is kept.
 func (l *Ledger) RetainStored(present map[RowKey]bool) {
 	dropped := []RowKey{}
 	for fingerprint, known := range l.suspects {
--- a/internal/quarantine/livecheck.go
+++ b/internal/quarantine/livecheck.go
@@ -7,11 +7,10 @@
 	"github.com/pkg/errors"
 )
 
-// LiveCheckTimeout bounds the question whether a backend has ended. Where a process
-// has ended, its machine refuses connections within a round trip; silence tells
-// nothing.
+// LiveCheckTimeout is the timeout of the check whether a backend's process has exited. If it
+// has, the machine refuses connections within a round trip; a timeout is inconclusive.
 const LiveCheckTimeout = 500 * time.Millisecond
 
-// IndicatesExit reports whether the failure to connect to a backend tells that its
-// process has ended: its machine answers that nothing listens there.
+// IndicatesExit reports whether a connection error shows that the backend's process has
+// exited: the connection was refused.
 func IndicatesExit(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/quarantine/recorder.go
+++ b/internal/quarantine/recorder.go
@@ -10,43 +10,42 @@
 )
 
 const (
-	// recorderQueue bounds the changes that wait for the store: one a backend that
-	// ends and daemon that saw it, so a store that is away for minutes.
+	// recorderQueue is the maximum number of changes that wait for the store. Each crash
+	// that this daemon observes is one change.
 	recorderQueue = 256
-	// rowsPerCommit is the store's bound on the entries of a transaction.
+	// rowsPerCommit is the store's limit on the entries of a transaction.
 	rowsPerCommit = 100
 	recordTimeout = time.Second
-	// recordPause is the mean pause after a failed call, and recordCeiling the
-	// longest after several.
-	recordPause   = 200 * time.Millisecond
-	recordCeiling = 5 * time.Second
+	// recordPause is the mean pause after the first failed commit. It doubles up to
+	// maxRecordPause.
+	recordPause    = 200 * time.Millisecond
+	maxRecordPause = 5 * time.Second
 )
 
-// Recorder writes evidence to the store, and withdraws it, for as long as it
-// takes: an order that failed is repeated, since writing a row twice changes
-// nothing.
+// Recorder writes evidence to the store and removes it. It retries a failed change until
+// the store accepts it: changes are idempotent.
 type Recorder struct {
-	store  table.Store
-	log    *slog.Logger
-	orders chan order
+	store   table.Store
+	log     *slog.Logger
+	changes chan change
 }
 
-// order is a change that the store is to take.
-type order struct {
+// change is a set of rows to write and remove.
+type change struct {
 	writes   []table.Write
 	removals []table.Removal
 }
 
-func (o order) isEmpty() bool { return len(o.writes)+len(o.removals) == 0 }
+func (c change) isEmpty() bool { return len(c.writes)+len(c.removals) == 0 }
 
-// NewRecorder returns a recorder. Run makes it work.
+// NewRecorder returns a recorder. Run has to be called for changes to be committed.
 func NewRecorder(store table.Store, log *slog.Logger) *Recorder {
-	return &Recorder{store: store, log: log, orders: make(chan order, recorderQueue)}
+	return &Recorder{store: store, log: log, changes: make(chan change, recorderQueue)}
 }
 
-// Write has evidence written. It does not block.
+// Write queues evidence to be written. It does not block; a full queue drops it.
 func (r *Recorder) Write(evidence []Evidence) {
-	wanted := order{}
+	added := change{}
 	for _, each := range evidence {
 		content, err := encodeEvidence(each)
 		if err != nil {
@@ -54,72 +53,72 @@
 			continue
 		}
 		key := RowKey{Fingerprint: each.Fingerprint, Instance: each.Instance}
-		wanted.writes = append(wanted.writes, table.Write{Table: TableName, Key: key.String(), Value: content})
+		added.writes = append(added.writes, table.Write{Table: TableName, Key: key.String(), Value: content})
 	}
-	r.queue(wanted)
+	r.enqueue(added)
 }
 
-// Remove has evidence removed. It does not block.
+// Remove queues rows to be removed. It does not block; a full queue drops them.
 func (r *Recorder) Remove(keys []RowKey) {
-	wanted := order{}
+	added := change{}
 	for _, key := range keys {
-		wanted.removals = append(wanted.removals, table.Removal{Table: TableName, Key: key.String()})
+		added.removals = append(added.removals, table.Removal{Table: TableName, Key: key.String()})
 	}
-	r.queue(wanted)
+	r.enqueue(added)
 }
 
-func (r *Recorder) queue(wanted order) {
-	if wanted.isEmpty() {
+func (r *Recorder) enqueue(added change) {
+	if added.isEmpty() {
 		return
 	}
 	select {
-	case r.orders <- wanted:
+	case r.changes <- added:
 	default:
-		r.log.Warn("evidence_not_recorded", "rows", len(wanted.writes)+len(wanted.removals), "reason", "queue_full", "waiting", len(r.orders))
+		r.log.Warn("evidence_not_recorded", "rows", len(added.writes)+len(added.removals), "reason", "queue_full", "waiting", len(r.changes))
 	}
 }
 
-// Run carries orders out until the context ends.
+// Run commits queued changes until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-r.orders:
-			for _, part := range wanted.parts() {
+		case added := <-r.changes:
+			for _, part := range added.split() {
 				r.commit(ctx, part)
 			}
 		}
 	}
 }
 
-// parts splits an order into transactions that the store takes.
-func (o order) parts() []order {
-	parts := []order{}
-	for start := 0; start < len(o.writes); start += rowsPerCommit {
-		parts = append(parts, order{writes: o.writes[start:min(start+rowsPerCommit, len(o.writes))]})
+// split divides a change into transactions within the store's limit.
+func (c change) split() []change {
+	parts := []change{}
+	for start := 0; start < len(c.writes); start += rowsPerCommit {
+		parts = append(parts, change{writes: c.writes[start:min(start+rowsPerCommit, len(c.writes))]})
 	}
-	for start := 0; start < len(o.removals); start += rowsPerCommit {
-		parts = append(parts, order{removals: o.removals[start:min(start+rowsPerCommit, len(o.removals))]})
+	for start := 0; start < len(c.removals); start += rowsPerCommit {
+		parts = append(parts, change{removals: c.removals[start:min(start+rowsPerCommit, len(c.removals))]})
 	}
 	return parts
 }
 
-// commit repeats one transaction until the store has taken it.
-func (r *Recorder) commit(ctx context.Context, part order) {
+// commit retries one transaction until it succeeds or the context ends.
+func (r *Recorder) commit(ctx context.Context, part change) {
 	pause := recordPause
-	for tries := 1; ; tries++ {
+	for attempts := 1; ; attempts++ {
 		bounded, cancel := context.WithTimeout(ctx, recordTimeout)
 		_, err := r.store.Commit(bounded, table.Transaction{Writes: part.writes, Removals: part.removals})
 		cancel()
 		if err == nil {
-			r.log.Info("evidence_recorded", "written", len(part.writes), "removed", len(part.removals), "tries", tries)
+			r.log.Info("evidence_recorded", "written", len(part.writes), "removed", len(part.removals), "tries", attempts)
 			return
 		}
-		r.log.Info("evidence_not_recorded", "rows", len(part.writes)+len(part.removals), "tries", tries, "error", err)
+		r.log.Info("evidence_not_recorded", "rows", len(part.writes)+len(part.removals), "tries", attempts, "error", err)
 		if !periodic.SleepAbout(ctx, pause) {
 			return
 		}
-		pause = min(pause*2, recordCeiling)
+		pause = min(pause*2, maxRecordPause)
 	}
 }
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -7,67 +7,62 @@
 )
 
 const (
-	// successTime is how long, at least, and twice it how long at most, a good end of
-	// a request speaks against later evidence. A request that many callers send is in
-	// flight at several backends when these end for a reason of their own, and it
-	// came to a good end somewhere just before. Longer would let a request that a
-	// change of the model has turned bad end more backends.
+	// successTime is the minimum time for which a success of a request excuses later
+	// crashes; the maximum is twice that. It covers requests that many callers send, which
+	// are in flight at several backends when these crash for another reason.
 	successTime = 5 * time.Second
-	// waveTime is within what time backends that end at one moment are known to have
-	// ended: the runs are gathered, the backend is asked, the word passes on.
-	waveTime = LiveCheckTimeout + 100*time.Millisecond
-	// maxSuccesses bounds one generation: at 12 requests a second and daemon, 5
-	// seconds hold 60. Beyond it the older generation goes early.
+	// crashGroupTime is the maximum time between the observations of simultaneous crashes:
+	// a live check, and the delivery of the notice.
+	crashGroupTime = LiveCheckTimeout + 100*time.Millisecond
+	// maxSuccesses is the maximum size of a generation. A full one is rotated early.
 	maxSuccesses = 4096
 )
 
-// wave is the backends whose ends a good end speaks against: those that end together.
-// Backends that go on ending under a request one after the other, with no good end
-// between them, are evidence whatever came to a good end before: one backend that
-// misbehaves may answer what ends all others.
-type wave struct {
+// crashGroup holds the backends whose crashes one success excuses: those that crash at
+// about the same time. Later crashes without another success count as evidence: a faulty
+// backend may answer a request that crashes all others.
+type crashGroup struct {
 	began     boottime.Instant
 	instances map[string]struct{}
 }
 
-// covers reports whether it is known that a backend ended in this wave.
-func (w *wave) covers(instance string) bool {
-	if w == nil {
+// covers reports whether the group contains a backend. A nil group is empty.
+func (c *crashGroup) covers(instance string) bool {
+	if c == nil {
 		return false
 	}
-	_, isKnown := w.instances[instance]
+	_, isKnown := c.instances[instance]
 	return isKnown
 }
 
-// successes remembers which requests came to a good end lately, in two
-// generations: the older one is dropped as a whole. Each has the wave that its latest
-// good end speaks against, nil as long as no backend has ended under it since.
+// successes holds the requests that succeeded recently, in two generations: the older one
+// is dropped at once. The value is the crash group that the latest success excuses, nil
+// until a backend crashes.
 type successes struct {
-	newer, older map[Fingerprint]*wave
-	// turnedAt is by the clock that counts sleep: a good end of long ago must not speak
-	// for a request because the machine slept meanwhile.
-	turnedAt boottime.Instant
+	newer, older map[Fingerprint]*crashGroup
+	// rotatedAt is the time of the last rotation, by a clock that includes system sleep.
+	rotatedAt boottime.Instant
 }
 
 func newSuccesses() *successes {
-	return &successes{newer: map[Fingerprint]*wave{}, older: map[Fingerprint]*wave{}}
+	return &successes{newer: map[Fingerprint]*crashGroup{}, older: map[Fingerprint]*crashGroup{}}
 }
 
-func (s *successes) turn(now boottime.Instant) {
-	elapsed := now.Sub(s.turnedAt)
+func (s *successes) rotate(now boottime.Instant) {
+	elapsed := now.Sub(s.rotatedAt)
 	if elapsed < successTime && len(s.newer) < maxSuccesses {
 		return
 	}
 	s.older = s.newer
 	if elapsed >= 2*successTime {
-		s.older = map[Fingerprint]*wave{}
+		s.older = map[Fingerprint]*crashGroup{}
 	}
-	s.newer = map[Fingerprint]*wave{}
-	s.turnedAt = now
+	s.newer = map[Fingerprint]*crashGroup{}
+	s.rotatedAt = now
 }
 
-func (s *successes) note(fingerprint Fingerprint, now boottime.Instant) {
-	s.turn(now)
+func (s *successes) record(fingerprint Fingerprint, now boottime.Instant) {
+	s.rotate(now)
 	s.newer[fingerprint] = nil
 }
 
@@ -75,10 +70,9 @@
 	return s.generation(fingerprint, now) != nil
 }
 
-// generation returns the generation that holds the latest good end of a request, nil if
-// there is none.
-func (s *successes) generation(fingerprint Fingerprint, now boottime.Instant) map[Fingerprint]*wave {
-	s.turn(now)
+// generation returns the generation with the latest success of a request, or nil.
+func (s *successes) generation(fingerprint Fingerprint, now boottime.Instant) map[Fingerprint]*crashGroup {
+	s.rotate(now)
 	if _, isNewer := s.newer[fingerprint]; isNewer {
 		return s.newer
 	}
@@ -88,25 +82,27 @@
 	return nil
 }
 
-// excuses reports whether a good end speaks against evidence of some age. Old evidence
-// is not excused: whoever hears late of several ends cannot tell whether they were one wave.
+// excuses reports whether a success excuses evidence of the given age, and adds the backend
+// to the success's crash group. A backend in the group stays excused. Other evidence older
+// than crashGroupTime is not excused: it was received late, and the times at which it was
+// received do not show whether the crashes were simultaneous.
 func (s *successes) excuses(evidence Evidence, age time.Duration, now boottime.Instant) bool {
 	generation := s.generation(evidence.Fingerprint, now)
 	if generation == nil {
 		return false
 	}
-	covered := generation[evidence.Fingerprint]
+	group := generation[evidence.Fingerprint]
 	switch {
-	case covered.covers(evidence.Instance):
+	case group.covers(evidence.Instance):
 		return true
-	case age > waveTime:
+	case age > crashGroupTime:
 		return false
-	case covered == nil:
-		covered = &wave{began: now, instances: map[string]struct{}{}}
-		generation[evidence.Fingerprint] = covered
-	case now.Sub(covered.began) > waveTime:
+	case group == nil:
+		group = &crashGroup{began: now, instances: map[string]struct{}{}}
+		generation[evidence.Fingerprint] = group
+	case now.Sub(group.began) > crashGroupTime:
 		return false
 	}
-	covered.instances[evidence.Instance] = struct{}{}
+	group.instances[evidence.Instance] = struct{}{}
 	return true
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -6,18 +6,17 @@
 	"topazpulley/internal/table"
 )
 
-// TableName is the table of evidence. Each row is one backend that ended under
-// one request: daemons that saw the same end write the same row, and none reads
-// before it writes.
+// TableName is the table of evidence. Each row is one crash of a backend under one
+// request. Daemons that observe the same crash write the same row, without reading first.
 const TableName = "crash_evidence"
 
-// RowKey names a row of evidence.
+// RowKey identifies a row of evidence.
 type RowKey struct {
 	Fingerprint Fingerprint
 	Instance    string
 }
 
-// String returns the key as the store holds it.
+// String returns the row's key in the store.
 func (k RowKey) String() string { return k.Fingerprint.String() + "/" + k.Instance }
 
 var _ table.Consumer = (*Guard)(nil)
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -266,26 +266,26 @@
 mutant spilled_after_an_attempt internal/gateway/completions.go \
 	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestRequestThatMayHaveRunGoesToNoOtherZone
 mutant crash_alone_quarantines internal/quarantine/ledger.go \
-	'l.weight(known) < l.policy.Crashes*wholeWeight' 'l.weight(known) < wholeWeight' internal/quarantine TestThreeEndedBackendsQuarantine
+	'l.weight(known) < l.policy.Crashes*fullWeight' 'l.weight(known) < fullWeight' internal/quarantine TestThreeCrashesQuarantine
 mutant explained_ends_accuse_others internal/quarantine/ledger.go \
-	'		case l.explained[instance] == 0:' '		case l.explained[instance] >= 0:' internal/quarantine TestEndsOfKnownCulpritsAreHeldAgainstNobodyElse
+	'		case l.attributed[instance] == 0:' '		case l.attributed[instance] >= 0:' internal/quarantine TestAttributedCrashesDoNotCountAgainstOthers
 mutant culprits_hide_behind_others internal/quarantine/ledger.go \
-	'		case !each.hadOutput:' '		case !each.hadOutput && l.explained[instance] == 0:' internal/quarantine TestCulpritsBesideEachOther
+	'		case !each.hadOutput:' '		case !each.hadOutput && l.attributed[instance] == 0:' internal/quarantine TestTwoCulpritsAtTheSameBackends
 mutant evidence_not_spread internal/quarantine/guard.go \
-	'	g.send(held)
-	// The' '	// The' platform TestRequestThatEndsBackendsIsStopped
+	'	g.publish(counted)
+	// Other' '	// Other' platform TestRequestThatEndsBackendsIsStopped
 mutant good_end_ignored internal/quarantine/guard.go \
-	'	if isSuspect {' '	if isSuspect && false {' internal/quarantine TestGoodEndTakesTheQuarantineBack
+	'	if isSuspect {' '	if isSuspect && false {' internal/quarantine TestSuccessLiftsQuarantine
 mutant earlier_success_ignored internal/quarantine/guard.go \
 	'	return isExcused
 }' '	return false
-}' internal/quarantine TestRequestThatSucceedsElsewhereIsNeverQuarantined
+}' internal/quarantine TestRecentSuccessExcusesSimultaneousCrashes
 mutant good_end_excuses_all_later_ends internal/quarantine/successes.go \
-	'	case now.Sub(covered.began) > waveTime:' '	case false:' internal/quarantine TestOneGoodEndDoesNotSpeakForACulprit
+	'	case now.Sub(group.began) > crashGroupTime:' '	case false:' internal/quarantine TestSuccessExcusesOneCrashGroup
 mutant excused_ends_not_told internal/quarantine/guard.go \
-	'	g.tell(excused)' '' internal/quarantine TestOneGoodEndDoesNotSpeakForACulprit
+	'	g.notify(excused)' '' internal/quarantine TestSuccessExcusesOneCrashGroup
 mutant late_evidence_excused internal/quarantine/successes.go \
-	'	case age > waveTime:' '	case false:' internal/quarantine TestLateEvidenceIsNoWave
+	'	case age > crashGroupTime:' '	case false:' internal/quarantine TestOldEvidenceIsNotExcused
 mutant forwarded_call_outlives_its_caller internal/gateway/forward.go \
 	'context.AfterFunc(watched, passed.end)' 'context.AfterFunc(context.Background(), passed.end)' internal/gateway TestCallerThatLeavesEndsAForwardedWholeAnswer
 mutant quarantined_sent internal/serving/guarded.go \
@@ -315,7 +315,7 @@
 mutant sent_after_a_sleep internal/gateway/deadline.go \
 	'isBounded && time.Until(deadline)' 'isBounded && false && time.Until(deadline)' internal/gateway TestNothingIsSentForACallerThatLeftDuringASleep
 mutant good_ends_outlive_sleep internal/quarantine/guard.go \
-	'g.successes.note(fingerprint, g.Clock.Now())' 'g.successes.note(fingerprint, g.Clock.Now().Add(time.Hour))' internal/quarantine TestGoodEndsBeforeASleepProveNothing
+	'g.successes.record(fingerprint, g.Clock.Now())' 'g.successes.record(fingerprint, g.Clock.Now().Add(time.Hour))' internal/quarantine TestSuccessesExpireDuringSleep
 mutant asleep_is_settled internal/table/settling.go \
 	'boottime.Instant(f.confirmed.Load()) >= last.wholeAt' 'f.Now() >= last.wholeAt' internal/table TestRowsThatAreNotBackYetAreNotGone
 mutant alone_as_if_few_were internal/ratelimit/share.go \
