--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// keeperPatience is how long an account's keeper may take for a reservation,
-	// whose caller waits, and settlePatience for what can be told again. After a
-	// failure reservations pass it by for keeperRest.
-	keeperPatience = 150 * time.Millisecond
-	settlePatience = time.Second
-	keeperRest     = 2 * time.Second
-	// pressedShare is the share of the limit from which on owners tell at once
-	// what ended, and nearLimitTime how long that holds.
-	pressedShare  = 0.5
-	nearLimitTime = 5 * time.Second
-	// announceInterval is the shortest time between two announcements.
+	// coordinatorTimeout is the timeout of a reservation at an account's coordinator, and
+	// settleTimeout that of other operations, which job owners repeat. After a failure of
+	// the coordinator, reservations bypass it for avoidTime.
+	coordinatorTimeout = 150 * time.Millisecond
+	settleTimeout      = time.Second
+	avoidTime          = 2 * time.Second
+	// nearLimitShare is the share of the limit above which an account is near its limit:
+	// job owners then settle at once. The state lasts for nearLimitTime.
+	nearLimitShare = 0.5
+	nearLimitTime  = 5 * time.Second
+	// announceInterval is the minimum time between two announcements of an account.
 	announceInterval = time.Second
-	// settleTime is how long owners that were told just now need to settle.
-	settleTime = 150 * time.Millisecond
-	// listedReservations bounds one page of reservations.
-	listedReservations = 500
+	// settleDelay is the time that job owners need to settle after an announcement.
+	settleDelay = 150 * time.Millisecond
+	// reservationsPerPage is the maximum number of reservations in one read.
+	reservationsPerPage = 500
 )
 
-// Peers reaches the other daemons.
+// Peers sends messages to the other daemons.
 type Peers interface {
 	// Coordinator returns the address of the daemon that commits for an account, and
 	// whether it is this one.
 	Coordinator(account string) (address string, isSelf bool)
 	// Apply asks another daemon to commit operations.
 	Apply(ctx context.Context, address string, request Request) (Answer, error)
-	// Announce tells all daemons that an account is near its limit.
+	// Announce notifies all daemons that an account is near its limit.
 	Announce(account string)
 }
 
 // Accounts reserves, settles and releases tokens on all accounts. It is safe
-// for concurrent use; mutex guards the fields behind it.
+// for concurrent use. mutex guards the fields below it.
 type Accounts struct {
 	store   Store
 	peers   Peers
@@ -52,36 +52,36 @@
 
 	mutex   sync.Mutex
 	ledgers map[string]*ledger
-	// nearLimitSince, nearLimitAt and announcedAt are by account, avoided by a
-	// keeper's address.
+	// nearLimitSince, nearLimitAt and announcedAt are keyed by account, avoidedUntil by
+	// the coordinator's address.
 	nearLimitSince map[string]time.Time
 	nearLimitAt    map[string]time.Time
 	announcedAt    map[string]time.Time
-	avoided        map[string]time.Time
+	avoidedUntil   map[string]time.Time
 }
 
 // NewAccounts returns accounts over a store.
 func NewAccounts(store Store, peers Peers, metrics *telemetry.Quota, log *slog.Logger) *Accounts {
 	return &Accounts{
 		store: store, peers: peers, metrics: metrics, log: log, ledgers: map[string]*ledger{},
-		nearLimitSince: map[string]time.Time{}, nearLimitAt: map[string]time.Time{}, announcedAt: map[string]time.Time{}, avoided: map[string]time.Time{},
+		nearLimitSince: map[string]time.Time{}, nearLimitAt: map[string]time.Time{}, announcedAt: map[string]time.Time{}, avoidedUntil: map[string]time.Time{},
 	}
 }
 
-// Reserve adds a job's tokens to an account and reports whether it had none
-// there before. A job that does not fit is refused with a failure that tells
-// when to come back; after any other failure the reservation may come to exist
-// and is to be released.
+// Reserve adds a job's tokens to an account and reports whether the job had none there
+// before. A job that does not fit is refused with an error that contains the time after
+// which to retry. After any other error the reservation may exist: the caller has to
+// release it.
 func (a *Accounts) Reserve(ctx context.Context, account string, limit Limit, job string, tokens int64, holder string) (isNew bool, err error) {
 	operations := []Operation{{Kind: KindReserve, Job: job, Tokens: tokens, Holder: holder}}
 	started := time.Now()
-	wasPressed := a.isNearLimitFor(account, settleTime)
+	wasNearLimit := a.isNearLimitFor(account, settleDelay)
 	outcome, err := a.applyOne(ctx, account, limit, operations)
 	if err != nil || outcome.IsGranted {
 		return outcome.IsNew, err
 	}
-	if !wasPressed && tokens <= outcome.Limit && periodic.Sleep(ctx, settleTime) {
-		// Owners have just been told to settle what ended.
+	if !wasNearLimit && tokens <= outcome.Limit && periodic.Sleep(ctx, settleDelay) {
+		// Job owners were notified by the first attempt and may have settled since.
 		if outcome, err = a.applyOne(ctx, account, limit, operations); err != nil || outcome.IsGranted {
 			return outcome.IsNew, err
 		}
@@ -102,9 +102,8 @@
 	return outcomes[0], nil
 }
 
-// Apply commits operations on an account: through its keeper, or, where a caller
-// waits for a reservation, directly when the keeper does not answer. Repeating
-// operations does no harm.
+// Apply commits operations on an account through its coordinator. If the coordinator
+// fails, reservations are committed directly. Operations are idempotent.
 func (a *Accounts) Apply(ctx context.Context, account string, limit Limit, operations []Operation) ([]Outcome, error) {
 	outcomes, err := a.commit(ctx, account, limit, operations)
 	if err != nil {
@@ -112,7 +111,7 @@
 	}
 	last := outcomes[len(outcomes)-1]
 	a.metrics.Waiting.WithLabelValues(routeOf(account)).Set(float64(last.Waiting))
-	a.notePressure(account, outcomes, time.Now())
+	a.announceNearLimit(account, outcomes, time.Now())
 	return outcomes, nil
 }
 
@@ -122,41 +121,41 @@
 	if isSelf || (isReserved && a.isAvoided(address)) {
 		return a.ledger(account).apply(ctx, limit, operations)
 	}
-	patience := settlePatience
+	timeout := settleTimeout
 	if isReserved {
-		patience = keeperPatience
+		timeout = coordinatorTimeout
 	}
-	outcomes, err := a.askCoordinator(ctx, address, patience, Request{Account: account, Limit: limit.Tokens, Config: limit.Config, Operations: operations})
+	outcomes, err := a.askCoordinator(ctx, address, timeout, Request{Account: account, Limit: limit.Tokens, Config: limit.Config, Operations: operations})
 	if err != nil && isReserved {
 		return a.ledger(account).apply(ctx, limit, operations)
 	}
 	return outcomes, err
 }
 
-// Serve answers a request of another daemon.
+// Serve commits the operations of another daemon's request.
 func (a *Accounts) Serve(ctx context.Context, request Request) (Answer, error) {
-	bounded, cancel := context.WithTimeout(ctx, storeAttempt)
+	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	limit := Limit{Tokens: request.Limit, Config: request.Config}
 	outcomes, err := a.ledger(request.Account).apply(bounded, limit, request.Operations)
 	return Answer{Outcomes: outcomes}, err
 }
 
-func (a *Accounts) askCoordinator(ctx context.Context, address string, patience time.Duration, request Request) ([]Outcome, error) {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+func (a *Accounts) askCoordinator(ctx context.Context, address string, timeout time.Duration, request Request) ([]Outcome, error) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := a.peers.Apply(bounded, address, request)
 	if err == nil && len(answer.Outcomes) == len(request.Operations) {
 		return answer.Outcomes, nil
 	}
 	if failure.HasCode(err, codeUnavailable) {
-		// The keeper lives, and the store does not answer it. Daemons that passed it by
-		// for that would commit beside each other when the store is back.
+		// The coordinator is available, but the store is not. Bypassing the coordinator
+		// would lead to conflicting commits when the store is available again.
 		a.log.Info("quota_keeper_waits", "account", request.Account, "keeper", address, "error", err)
 		return nil, unavailable(err)
 	}
 	a.mutex.Lock()
-	a.avoided[address] = time.Now().Add(keeperRest)
+	a.avoidedUntil[address] = time.Now().Add(avoidTime)
 	a.mutex.Unlock()
 	a.log.Info("quota_keeper_passed_by", "account", request.Account, "keeper", address, "error", err)
 	return nil, unavailable(err)
@@ -165,26 +164,26 @@
 func (a *Accounts) isAvoided(address string) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return time.Now().Before(a.avoided[address])
+	return time.Now().Before(a.avoidedUntil[address])
 }
 
 func (a *Accounts) ledger(account string) *ledger {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	held := a.ledgers[account]
-	if held == nil {
-		held = newLedger(a.store, account)
-		a.ledgers[account] = held
+	found := a.ledgers[account]
+	if found == nil {
+		found = newLedger(a.store, account)
+		a.ledgers[account] = found
 	}
-	return held
+	return found
 }
 
-// notePressure announces an account that is near its limit.
-func (a *Accounts) notePressure(account string, outcomes []Outcome, now time.Time) {
+// announceNearLimit marks and announces an account if an outcome is near its limit.
+func (a *Accounts) announceNearLimit(account string, outcomes []Outcome, now time.Time) {
 	isNear := false
 	for _, outcome := range outcomes {
 		isBounded := outcome.Limit > 0
-		isNear = isNear || (isBounded && float64(outcome.Waiting) > pressedShare*float64(outcome.Limit))
+		isNear = isNear || (isBounded && float64(outcome.Waiting) > nearLimitShare*float64(outcome.Limit))
 	}
 	if !isNear {
 		return
@@ -201,7 +200,7 @@
 	a.MarkNearLimit(account, now)
 }
 
-// MarkNearLimit notes that an account is near its limit.
+// MarkNearLimit records that an account is near its limit.
 func (a *Accounts) MarkNearLimit(account string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -211,10 +210,11 @@
 	a.nearLimitAt[account] = now
 }
 
-// IsNearLimit reports whether owners should settle at once.
+// IsNearLimit reports whether an account is near its limit, so that job owners should settle
+// at once.
 func (a *Accounts) IsNearLimit(account string) bool { return a.isNearLimitFor(account, 0) }
 
-// isNearLimitFor reports whether an account has been near its limit for a while.
+// isNearLimitFor reports whether an account has been near its limit for at least a time.
 func (a *Accounts) isNearLimitFor(account string, least time.Duration) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -222,21 +222,21 @@
 	return now.Sub(a.nearLimitAt[account]) <= nearLimitTime && now.Sub(a.nearLimitSince[account]) >= least
 }
 
-// Reservations lists an account's reservations.
+// Reservations returns an account's reservations.
 func (a *Accounts) Reservations(ctx context.Context, account string) ([]Reservation, error) {
 	found := []Reservation{}
 	from := ""
 	for {
-		page, err := a.store.Read(ctx, table.Range{Table: tableReservation, Partition: account, From: from, Limit: listedReservations})
+		page, err := a.store.Read(ctx, table.Range{Table: tableReservation, Partition: account, From: from, Limit: reservationsPerPage})
 		if err != nil {
 			return nil, err
 		}
 		for _, row := range page.Rows {
-			held := reservationRow{}
-			if err := decode(row, &held); err != nil {
+			stored := reservationRow{}
+			if err := decode(row, &stored); err != nil {
 				return nil, err
 			}
-			found = append(found, Reservation{Job: row.Key, Tokens: held.Tokens, Holder: held.Holder, Version: row.Version})
+			found = append(found, Reservation{Job: row.Key, Tokens: stored.Tokens, Holder: stored.Holder, Version: row.Version})
 		}
 		if !page.More || len(page.Rows) == 0 {
 			return found, nil
@@ -245,7 +245,7 @@
 	}
 }
 
-// Reserved lists the accounts that have reservations.
+// Reserved returns the accounts that have reservations.
 func (a *Accounts) Reserved(ctx context.Context) ([]string, error) {
 	all := []string{}
 	for after := ""; ; after = all[len(all)-1] {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -13,54 +13,53 @@
 )
 
 const (
-	// batchOperations bounds one transaction: each operation takes up to two of
-	// the store's 100 entries, and the total takes two.
+	// batchOperations is the maximum number of operations in one transaction: each takes up
+	// to two of the store's 100 entries, and the total takes two.
 	batchOperations = 45
-	storeAttempt    = 900 * time.Millisecond
-	// shortestPause and longestPause bound the pause after a commit that came to
-	// nothing. It doubles with each one and is halved by each that succeeds: many
-	// daemons that commit to one account would else keep its partition, which
-	// takes one call at a time, busy with calls that conflict.
-	shortestPause = 8 * time.Millisecond
-	longestPause  = 500 * time.Millisecond
-	// unansweredPause is the mean pause after a commit that the store did not answer:
-	// callers who wait through an outage have 1.4 seconds and more, and lose a seventh
-	// of that behind its end. It does not grow: what is tried again while the store is
-	// away says nothing of how many commit to the account.
+	// storeTimeout is the timeout of one commit.
+	storeTimeout = 900 * time.Millisecond
+	// minPause and maxPause limit the pause after repeated conflicts. It doubles with each
+	// pause and is halved by each successful commit, so that many daemons that commit to
+	// one account do not overload its partition with conflicting calls.
+	minPause = 8 * time.Millisecond
+	maxPause = 500 * time.Millisecond
+	// unansweredPause is the mean pause between commits while the store does not answer.
+	// It is constant: unanswered commits do not show contention for the account.
 	unansweredPause = 200 * time.Millisecond
 )
 
-// backoff is the pause of a daemon between commits to one account.
+// backoff is the pause between this daemon's commits to one account.
 type backoff struct {
 	pause time.Duration
 }
 
-// failed returns the pause after a commit that came to nothing.
+// failed increases the pause and returns it.
 func (b *backoff) failed() time.Duration {
-	b.pause = min(max(2*b.pause, shortestPause), longestPause)
+	b.pause = min(max(2*b.pause, minPause), maxPause)
 	return b.pause
 }
 
+// succeeded halves the pause.
 func (b *backoff) succeeded() { b.pause /= 2 }
 
-// pending is operations of one caller that wait for their commit.
+// pending holds the operations of one caller until they are committed.
 type pending struct {
 	ctx        context.Context
 	operations []Operation
-	// since is when it began to wait.
+	// since is the time at which it was queued.
 	since time.Time
-	// done receives the outcomes; it is buffered.
+	// done receives the outcomes. It is buffered.
 	done chan []Outcome
 }
 
-// isReservation reports whether a caller waits for the operations.
+// isReservation reports whether the operations are reservations, whose callers wait.
 func (p *pending) isReservation() bool { return isReservation(p.operations) }
 
 func isReservation(operations []Operation) bool { return operations[0].Kind == KindReserve }
 
-// ledger commits the operations on one account, those that wait at a time in
-// one transaction. mutex guards queue, limit and isRunning; view,
-// freed and backoff belong to the goroutine that commits.
+// ledger commits the operations on one account and combines queued operations into one
+// transaction. mutex guards queue, limit and isRunning. view, freed and backoff are used
+// only by the goroutine that commits.
 type ledger struct {
 	store   Store
 	account string
@@ -78,8 +77,7 @@
 	return &ledger{store: store, account: account, view: newView(), freed: &freedRate{}}
 }
 
-// apply commits operations. When the context ends first, it is unknown whether
-// they were carried out.
+// apply commits operations. If the context ends first, the result is unknown.
 func (l *ledger) apply(ctx context.Context, limit Limit, operations []Operation) ([]Outcome, error) {
 	waiting := &pending{ctx: ctx, operations: operations, since: time.Now(), done: make(chan []Outcome, 1)}
 	l.enqueue(waiting, limit)
@@ -104,31 +102,30 @@
 	}
 }
 
-// longestSettleWait is how long operations that nobody waits for are passed by
-// reservations: half of the time after which their owners give a try up. Without it 150
-// reservations at once kept every settlement away, and what had ended was not freed.
-const longestSettleWait = 500 * time.Millisecond
+// maxSettleWait is the time after which reservations are no longer queued ahead of a waiting
+// settlement or release, so that many reservations do not starve them. It is half of
+// settleTimeout.
+const maxSettleWait = 500 * time.Millisecond
 
-// insertByUrgency puts reservations, whose callers wait, before operations that their
-// owners repeat by themselves: behind an outage of the store all owners of a fleet settle
-// what ended meanwhile.
+// insertByUrgency queues reservations, whose callers wait, ahead of settlements and
+// releases, which are repeated. All owners settle at once after an outage of the store.
 func insertByUrgency(queue []*pending, added *pending) []*pending {
 	if !added.isReservation() {
 		return append(queue, added)
 	}
-	place := 0
+	position := 0
 	for index, waiting := range queue {
-		if waiting.isReservation() || added.since.Sub(waiting.since) >= longestSettleWait {
-			place = index + 1
+		if waiting.isReservation() || added.since.Sub(waiting.since) >= maxSettleWait {
+			position = index + 1
 		}
 	}
-	return slices.Insert(queue, place, added)
+	return slices.Insert(queue, position, added)
 }
 
-// run commits until nothing waits.
+// run commits until the queue is empty.
 func (l *ledger) run() {
 	for {
-		batch, limit := l.take()
+		batch, limit := l.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -136,9 +133,9 @@
 	}
 }
 
-// take returns the callers whose operations go into the next transaction. When
-// there are none, the ledger rests.
-func (l *ledger) take() ([]*pending, Limit) {
+// nextBatch removes the callers of the next transaction from the queue. If there are none, it
+// sets isRunning to false.
+func (l *ledger) nextBatch() ([]*pending, Limit) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	batch := []*pending{}
@@ -158,24 +155,22 @@
 	return batch, l.limit
 }
 
-// commit tries until the store has carried the batch out or nobody waits for
-// it any more. A conflict tells how the account stands, and the next try comes at once:
-// behind a pause that picture would be old again, and where many daemons commit, as
-// behind an outage of the store, nearly every try would conflict. Forty of them took
-// 17 s for what now takes 2 (TestReservationsBehindAnOutageAreCommittedSoon).
+// commit retries a batch until it is committed or all its callers have left. A conflict
+// refreshes the view, so the next attempt follows at once: after a pause the view would be
+// outdated again. Two conflicts in a row are followed by a pause.
 func (l *ledger) commit(batch []*pending, limit Limit) {
 	isFresh, unanswered := false, 0
 	for {
-		batch = stillWanted(batch)
+		batch = withoutCancelled(batch)
 		if len(batch) == 0 {
 			return
 		}
-		made := l.view.planOf(l.account, limit, operationsOf(batch))
-		switch l.try(made) {
+		planned := l.view.planOf(l.account, limit, operationsOf(batch))
+		switch l.try(planned) {
 		case tryCommitted:
 			l.backoff.succeeded()
-			made.noteRate(l.freed.perSecond(time.Now()))
-			deliver(batch, made.outcomes)
+			planned.setRate(l.freed.perSecond(time.Now()))
+			deliver(batch, planned.outcomes)
 			return
 		case tryConflicted:
 			isFresh = !isFresh
@@ -190,54 +185,55 @@
 	}
 }
 
-// pauseAfter is the mean pause behind so many commits in a row that the store did not
-// answer. One alone is no outage: a pause of unansweredPause, longer than askers wait for
-// a keeper, had keepers passed by for 13 of 20 single failures.
+// pauseAfter returns the mean pause after a number of unanswered commits. The first
+// pause is shorter than coordinatorTimeout, so that a single failure does not cause
+// reservations to bypass this coordinator.
 func pauseAfter(unanswered int) time.Duration {
 	if unanswered == 1 {
-		return shortestPause
+		return minPause
 	}
 	return unansweredPause
 }
 
-// tryEnd is how one try of a commit ended.
-type tryEnd uint8
+// tryResult is the result of one attempt to commit.
+type tryResult uint8
 
 const (
-	tryCommitted tryEnd = iota
-	// tryConflicted tells that the account stood otherwise; the view has its rows now.
+	tryCommitted tryResult = iota
+	// tryConflicted means that the rows had changed. The view has been refreshed.
 	tryConflicted
-	// tryUnanswered tells that the store did not carry the commit out, or did not say.
+	// tryUnanswered means that the commit failed or its result is unknown.
 	tryUnanswered
 )
 
-// try commits a plan once. After a conflict the view holds the rows as they stand.
-func (l *ledger) try(made plan) tryEnd {
-	bounded, cancel := context.WithTimeout(context.Background(), storeAttempt)
+// try commits a plan once. After a conflict it refreshes the view.
+func (l *ledger) try(planned plan) tryResult {
+	bounded, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	version, err := l.store.Commit(bounded, made.transaction)
+	version, err := l.store.Commit(bounded, planned.transaction)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		// A row that cannot be read leaves the view as it was.
-		_ = l.view.refresh(conflict, made.transaction)
+		// An unreadable row and those after it keep their cached state.
+		_ = l.view.refresh(conflict, planned.transaction)
 		return tryConflicted
 	}
 	if err != nil {
 		return tryUnanswered
 	}
-	l.freed.note(l.view.total.Waiting-made.total.Waiting, time.Now())
-	l.view.committed(made, version)
+	l.freed.add(l.view.total.Waiting-planned.total.Waiting, time.Now())
+	l.view.recordCommit(planned, version)
 	return tryCommitted
 }
 
-func stillWanted(batch []*pending) []*pending {
-	wanted := batch[:0]
+// withoutCancelled removes the callers whose context has ended.
+func withoutCancelled(batch []*pending) []*pending {
+	remaining := batch[:0]
 	for _, each := range batch {
 		if each.ctx.Err() == nil {
-			wanted = append(wanted, each)
+			remaining = append(remaining, each)
 		}
 	}
-	return wanted
+	return remaining
 }
 
 func operationsOf(batch []*pending) []Operation {
@@ -248,6 +244,7 @@
 	return operations
 }
 
+// deliver sends each caller the outcomes of its operations.
 func deliver(batch []*pending, outcomes []Outcome) {
 	for _, each := range batch {
 		count := len(each.operations)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,7 +6,7 @@
 	"topazpulley/internal/avrocodec"
 )
 
-// Request asks an account's keeper to commit operations.
+// Request asks an account's coordinator to commit operations.
 type Request struct {
 	Account    string      `avro:"account"`
 	Limit      int64       `avro:"limit"`
@@ -14,7 +14,7 @@
 	Operations []Operation `avro:"operations"`
 }
 
-// Answer holds the outcomes of a request's operations in their order.
+// Answer holds the outcomes of a request's operations, in the same order.
 type Answer struct {
 	Outcomes []Outcome `avro:"outcomes"`
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -6,42 +6,41 @@
 	"topazpulley/internal/table"
 )
 
-// totalRow is an account's sum. Limit and Config are the newest bound that any
-// daemon has applied, so that one that has not heard of it yet applies it too.
+// totalRow is the row of an account's total. Limit and Config are the newest limit that any
+// daemon has applied, so that daemons with an older configuration apply it too.
 type totalRow struct {
 	Waiting int64 `json:"waiting"`
 	Limit   int64 `json:"limit"`
 	Config  int64 `json:"config"`
 }
 
-// reservationRow is one job's part of the sum.
+// reservationRow is the row of one job's reservation.
 type reservationRow struct {
 	Tokens int64  `json:"tokens"`
 	Holder string `json:"holder"`
 	Epoch  int64  `json:"epoch,omitempty"`
 }
 
-// heldReservation is a reservation with the version of its row; the zero value
-// stands for a row that does not exist.
-type heldReservation struct {
+// storedReservation is a reservation with the version of its row. The zero value is a row
+// that does not exist.
+type storedReservation struct {
 	reservationRow
 	version table.Version
 }
 
-// view is what one daemon believes of an account's rows. A commit is
-// conditional on all that it relies on, so a view that lies behind costs a
-// further call and nothing else.
+// view is a daemon's cache of an account's rows. Commits are conditional on the versions of
+// the rows that they depend on: an outdated view only causes a conflict.
 type view struct {
 	total        totalRow
 	totalVersion table.Version
-	// reservations are the rows that this daemon has dealt with. A row that is
-	// missing here is taken as absent until the store says otherwise.
-	reservations map[string]heldReservation
+	// reservations are the cached rows by job. A missing row is assumed not to exist until
+	// a conflict shows that it does.
+	reservations map[string]storedReservation
 }
 
-func newView() *view { return &view{reservations: map[string]heldReservation{}} }
+func newView() *view { return &view{reservations: map[string]storedReservation{}} }
 
-// plan is a transaction with what it means for each operation if it commits.
+// plan is a transaction with the outcomes of its operations if it commits.
 type plan struct {
 	transaction table.Transaction
 	outcomes    []Outcome
@@ -49,66 +48,66 @@
 	changed     map[string]reservationRow
 }
 
-// planOf works out a batch of operations against the view. What frees tokens
-// goes first.
+// planOf plans a batch of operations against the view. Operations that free tokens are
+// applied first.
 func (v *view) planOf(account string, limit Limit, operations []Operation) plan {
-	made := plan{total: v.total, changed: map[string]reservationRow{}, outcomes: make([]Outcome, len(operations))}
-	made.total.apply(limit)
+	planned := plan{total: v.total, changed: map[string]reservationRow{}, outcomes: make([]Outcome, len(operations))}
+	planned.total.updateLimit(limit)
 	for index, operation := range operations {
 		if operation.Kind != KindReserve {
-			made.outcomes[index] = v.free(&made, operation)
+			planned.outcomes[index] = v.free(&planned, operation)
 		}
 	}
 	for index, operation := range operations {
 		if operation.Kind == KindReserve {
-			made.outcomes[index] = v.reserve(&made, operation)
+			planned.outcomes[index] = v.reserve(&planned, operation)
 		}
 	}
-	made.transaction = v.transaction(account, made, operations)
-	return made
+	planned.transaction = v.transaction(account, planned, operations)
+	return planned
 }
 
-// apply takes over a limit of a newer configuration.
-func (t *totalRow) apply(limit Limit) {
+// updateLimit replaces the limit unless its configuration is older.
+func (t *totalRow) updateLimit(limit Limit) {
 	if limit.Config >= t.Config {
 		t.Limit, t.Config = limit.Tokens, limit.Config
 	}
 }
 
-// present is a job's reservation as the batch has changed it so far.
-func (v *view) present(made *plan, job string) reservationRow {
-	if changed, found := made.changed[job]; found {
+// reservation returns a job's reservation with the changes of the plan so far.
+func (v *view) reservation(planned *plan, job string) reservationRow {
+	if changed, found := planned.changed[job]; found {
 		return changed
 	}
 	return v.reservations[job].reservationRow
 }
 
-func (v *view) reserve(made *plan, operation Operation) Outcome {
-	held := v.present(made, operation.Job)
-	isNew := held.Tokens == 0
-	isBounded := made.total.Limit > 0
-	if isNew && isBounded && made.total.Waiting+operation.Tokens > made.total.Limit {
-		return Outcome{Waiting: made.total.Waiting, Limit: made.total.Limit}
+func (v *view) reserve(planned *plan, operation Operation) Outcome {
+	current := v.reservation(planned, operation.Job)
+	isNew := current.Tokens == 0
+	isBounded := planned.total.Limit > 0
+	if isNew && isBounded && planned.total.Waiting+operation.Tokens > planned.total.Limit {
+		return Outcome{Waiting: planned.total.Waiting, Limit: planned.total.Limit}
 	}
 	if isNew {
-		held.Tokens = operation.Tokens
-		made.total.Waiting += operation.Tokens
+		current.Tokens = operation.Tokens
+		planned.total.Waiting += operation.Tokens
 	}
-	held.Holder = operation.Holder
-	made.changed[operation.Job] = held
-	return Outcome{IsGranted: true, IsNew: isNew, Waiting: made.total.Waiting, Limit: made.total.Limit}
+	current.Holder = operation.Holder
+	planned.changed[operation.Job] = current
+	return Outcome{IsGranted: true, IsNew: isNew, Waiting: planned.total.Waiting, Limit: planned.total.Limit}
 }
 
-// free settles or releases.
-func (v *view) free(made *plan, operation Operation) Outcome {
-	held := v.present(made, operation.Job)
-	next := held.after(operation)
-	made.total.Waiting += next.Tokens - held.Tokens
-	made.changed[operation.Job] = next
-	return Outcome{IsGranted: true, Waiting: made.total.Waiting, Limit: made.total.Limit}
+// free plans a settlement or a release.
+func (v *view) free(planned *plan, operation Operation) Outcome {
+	current := v.reservation(planned, operation.Job)
+	next := current.after(operation)
+	planned.total.Waiting += next.Tokens - current.Tokens
+	planned.changed[operation.Job] = next
+	return Outcome{IsGranted: true, Waiting: planned.total.Waiting, Limit: planned.total.Limit}
 }
 
-// after returns the reservation as an operation leaves it.
+// after returns the reservation after a settlement or a release.
 func (r reservationRow) after(operation Operation) reservationRow {
 	isSuperseded := operation.Kind == KindSettle && operation.Epoch < r.Epoch
 	isForeign := operation.Kind == KindRelease && operation.Holder != r.Holder
@@ -121,10 +120,9 @@
 	return reservationRow{Tokens: operation.Tokens, Holder: operation.Holder, Epoch: operation.Epoch}
 }
 
-// transaction makes the commit of a plan. It names every row that the plan
-// relies on, also where nothing is written: a refusal holds only if the view
-// was right.
-func (v *view) transaction(account string, made plan, operations []Operation) table.Transaction {
+// transaction returns the transaction of a plan. Its conditions include every row that the
+// plan depends on, even if nothing is written: a refusal is valid only if the view is current.
+func (v *view) transaction(account string, planned plan, operations []Operation) table.Transaction {
 	transaction := table.Transaction{
 		Partition:  account,
 		Conditions: []table.Condition{{Table: tableTotal, Key: keyTotal, Version: v.totalVersion}},
@@ -135,53 +133,53 @@
 			continue
 		}
 		named[operation.Job] = true
-		held := v.reservations[operation.Job]
-		transaction.Conditions = append(transaction.Conditions, table.Condition{Table: tableReservation, Key: operation.Job, Version: held.version})
-		next, isChanged := made.changed[operation.Job]
+		current := v.reservations[operation.Job]
+		transaction.Conditions = append(transaction.Conditions, table.Condition{Table: tableReservation, Key: operation.Job, Version: current.version})
+		next, isChanged := planned.changed[operation.Job]
 		switch {
-		case !isChanged || next == held.reservationRow:
-			// Nothing is written.
+		case !isChanged || next == current.reservationRow:
+			// The row is unchanged.
 		case next.Tokens > 0:
 			transaction.Writes = append(transaction.Writes, table.Write{Table: tableReservation, Key: operation.Job, Value: encode(next)})
-		case held.version != 0:
+		case current.version != 0:
 			transaction.Removals = append(transaction.Removals, table.Removal{Table: tableReservation, Key: operation.Job})
 		}
 	}
-	if made.total != v.total {
-		transaction.Writes = append(transaction.Writes, table.Write{Table: tableTotal, Key: keyTotal, Value: encode(made.total)})
+	if planned.total != v.total {
+		transaction.Writes = append(transaction.Writes, table.Write{Table: tableTotal, Key: keyTotal, Value: encode(planned.total)})
 	}
 	return transaction
 }
 
-// noteRate tells all callers how fast the account empties.
-func (p *plan) noteRate(perSecond float64) {
+// setRate sets the rate of freed tokens in all outcomes.
+func (p *plan) setRate(perSecond float64) {
 	for index := range p.outcomes {
 		p.outcomes[index].FreedPerSecond = perSecond
 	}
 }
 
-// viewRows bounds the rows that a view remembers. Forgotten ones are read again
-// by a conflict.
-const viewRows = 4096
+// maxViewRows is the maximum number of cached reservations. Dropped rows are read again
+// after a conflict.
+const maxViewRows = 4096
 
-// committed takes over a plan that was committed at a version.
-func (v *view) committed(made plan, version table.Version) {
-	if len(v.reservations) > viewRows {
+// recordCommit updates the view with a plan that was committed at a version.
+func (v *view) recordCommit(planned plan, version table.Version) {
+	if len(v.reservations) > maxViewRows {
 		clear(v.reservations)
 	}
-	for _, write := range made.transaction.Writes {
+	for _, write := range planned.transaction.Writes {
 		if write.Table == tableTotal {
-			v.total, v.totalVersion = made.total, version
+			v.total, v.totalVersion = planned.total, version
 			continue
 		}
-		v.reservations[write.Key] = heldReservation{reservationRow: made.changed[write.Key], version: version}
+		v.reservations[write.Key] = storedReservation{reservationRow: planned.changed[write.Key], version: version}
 	}
-	for _, removal := range made.transaction.Removals {
+	for _, removal := range planned.transaction.Removals {
 		delete(v.reservations, removal.Key)
 	}
 }
 
-// refresh takes over the rows that stood in the way of a transaction.
+// refresh updates the view with the current rows of a conflict.
 func (v *view) refresh(conflict *table.ConflictError, transaction table.Transaction) error {
 	for _, condition := range transaction.Conditions {
 		row := conflict.Row(condition.Table, condition.Key)
@@ -193,11 +191,11 @@
 			v.total, v.totalVersion = total, row.Version
 			continue
 		}
-		held := heldReservation{version: row.Version}
-		if err := decode(row, &held.reservationRow); err != nil {
+		current := storedReservation{version: row.Version}
+		if err := decode(row, &current.reservationRow); err != nil {
 			return err
 		}
-		v.reservations[condition.Key] = held
+		v.reservations[condition.Key] = current
 		if row.Version == 0 {
 			delete(v.reservations, condition.Key)
 		}
@@ -208,7 +206,7 @@
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // rows of numbers and texts can always be encoded
+		panic(err) // cannot happen: rows contain only numbers and strings
 	}
 	return encoded
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,18 +1,19 @@
-// Package quota bounds the tokens that wait on an account, summed over all
-// daemons of the fleet. An account is one route, or one tenant's part of it.
+// Package quota limits the queued tokens of an account over all daemons of the fleet. An
+// account is a route, or one tenant on a route.
 //
-// The store holds one row with the account's total and one reservation for each
-// job that waits. Invariants, all of which rest on conditional commits alone:
+// The store has one row with the account's total and one reservation for each
+// queued job. These invariants are enforced by conditional commits alone:
 //   - The total is the sum of the reservations: both change in one transaction,
 //     which is conditional on the version of the total.
-//   - A reservation that adds tokens is committed only if the total then stays
-//     within the limit. So no daemon's old picture can pass the limit.
-//   - A reservation names its holder; a release by anybody else changes nothing.
-//     It is settled under the epoch of the job's claim, which only rises.
+//   - A reservation that adds tokens is committed only if the new total is within the
+//     limit, even if the daemon's view of the account is outdated.
+//   - A reservation has a holder. A release by another holder changes nothing.
+//   - A reservation is settled under the epoch of the job's claim, which only increases.
+//     A settlement under a lower epoch changes nothing.
 //
-// One daemon, the account's keeper, commits for all others while it is
-// reachable, several operations at a time. That saves calls and conflicts; no
-// promise rests on it, and any daemon may commit itself.
+// One daemon, the account's coordinator, commits for all others while it is reachable, and
+// combines operations into one transaction. This saves calls and conflicts. Correctness does
+// not depend on it: any daemon may commit directly.
 package quota
 
 import (
@@ -32,9 +33,8 @@
 	keyTotal = "total"
 )
 
-// TenantSeparator stands in the name of an account between the route and the
-// tenant, where tenants have accounts of their own. Metrics are by route: there
-// may be thousands of tenants.
+// TenantSeparator separates route and tenant in the name of a tenant's account. Metrics are
+// labelled by route only: there may be thousands of tenants.
 const TenantSeparator = "/tenant/"
 
 // routeOf returns the route of an account.
@@ -43,27 +43,27 @@
 	return route
 }
 
-// Limit is the bound of an account by one version of the configuration.
+// Limit is the limit of an account in one version of the configuration.
 type Limit struct {
-	// Tokens is the bound; 0 means none.
+	// Tokens is the maximum number of queued tokens. 0 means no limit.
 	Tokens int64
-	// Config is the version of the configuration that says so.
+	// Config is the version of the configuration.
 	Config int64
 }
 
-// Kind says what an operation does.
+// Kind is the kind of an operation.
 type Kind int
 
 // The kinds of operation.
 const (
-	// KindReserve adds a job's tokens if they fit. A reservation that exists
-	// already is taken over by the new holder and never refused.
+	// KindReserve adds a job's tokens if they fit. An existing reservation is assigned to
+	// the new holder and never refused.
 	KindReserve Kind = iota
-	// KindSettle sets what is left of an accepted job, 0 when it is over. It is
-	// never refused: the caller owns the job.
+	// KindSettle sets the remaining tokens of an accepted job, 0 when it is finished. It
+	// is never refused: the caller owns the job.
 	KindSettle
-	// KindRelease takes a reservation back that came to nothing, if the holder
-	// still holds it.
+	// KindRelease removes the reservation of a job that was not accepted, if its holder is
+	// unchanged.
 	KindRelease
 )
 
@@ -71,31 +71,31 @@
 type Operation struct {
 	Kind Kind   `avro:"kind"`
 	Job  string `avro:"job"`
-	// Tokens is what the job has waiting.
+	// Tokens is the number of the job's queued tokens.
 	Tokens int64 `avro:"tokens"`
-	// Holder names the call or the daemon that holds the reservation.
+	// Holder identifies the call or the daemon that holds the reservation.
 	Holder string `avro:"holder"`
-	// Epoch is that of the claim under which a job is settled. Settling under a
-	// lower epoch than the last changes nothing.
+	// Epoch is the epoch of the claim under which a job is settled. A settlement with a
+	// lower epoch than the last one changes nothing.
 	Epoch int64 `avro:"epoch"`
 }
 
-// Outcome is what became of an operation.
+// Outcome is the result of an operation.
 type Outcome struct {
 	// IsGranted is false only for a reservation that does not fit.
 	IsGranted bool `avro:"granted"`
-	// IsNew tells that the reservation did not exist before.
+	// IsNew is true if the reservation did not exist before.
 	IsNew bool `avro:"new"`
-	// Waiting is the account's total after the operation, and Limit the bound
-	// that was applied.
+	// Waiting is the account's total of queued tokens after the operation, and Limit the
+	// limit that was applied.
 	Waiting int64 `avro:"waiting"`
 	Limit   int64 `avro:"limit"`
-	// FreedPerSecond is how many tokens of the account ended lately, as the
-	// committing daemon saw it.
+	// FreedPerSecond is the recent rate of freed tokens of the account, in tokens per
+	// second, as measured by the committing daemon.
 	FreedPerSecond float64 `avro:"freed_per_second"`
 }
 
-// Reservation is what the store holds for one job.
+// Reservation is the stored reservation of one job.
 type Reservation struct {
 	Job     string
 	Tokens  int64
@@ -103,25 +103,25 @@
 	Version table.Version
 }
 
-// Store is the part of the store that reservations need.
+// Store is the subset of the store that reservations use.
 type Store interface {
 	Commit(ctx context.Context, transaction table.Transaction) (table.Version, error)
 	Read(ctx context.Context, wanted table.Range) (table.Page, error)
 	Partitions(ctx context.Context, name, after string) ([]string, bool, error)
 }
 
-// Refused is the failure of a job that does not fit.
+// Refused returns the error for a job that does not fit.
 func Refused(account string, outcome Outcome, retryAfter time.Duration) error {
-	return failure.New(failure.KindOverloaded, "quota_reached", "%d of %d tokens wait on %s already: send the job again later", outcome.Waiting, outcome.Limit, account).
+	return failure.New(failure.KindOverloaded, "quota_reached", "%d of %d tokens are queued on %s: retry the job later", outcome.Waiting, outcome.Limit, account).
 		WithNotRun().WithRetryAfter(retryAfter)
 }
 
-// codeUnavailable tells that the store did not say what waits.
+// codeUnavailable is the error code for an operation whose result the store did not return.
 const codeUnavailable = "quota_unavailable"
 
 func unavailable(cause error) error {
-	return failure.Wrap(cause, failure.KindUnavailable, codeUnavailable, "the store does not tell what waits").WithNotRun().WithRetryAfter(retryAfterStore)
+	return failure.Wrap(cause, failure.KindUnavailable, codeUnavailable, "the store did not return the queued tokens of the account").WithNotRun().WithRetryAfter(retryAfterStore)
 }
 
-// retryAfterStore is the advice to callers while the store does not answer.
+// retryAfterStore is the time after which callers should retry while the store does not answer.
 const retryAfterStore = 500 * time.Millisecond
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// rateMemory is the time over which the rate of ending work is taken.
-const rateMemory = 5 * time.Second
+// rateTimeConstant is the time constant of the exponential decay in freedRate.
+const rateTimeConstant = 5 * time.Second
 
-// freedRate measures how many tokens end in a second, each counting less with
-// time.
+// freedRate is an exponentially weighted rate of freed tokens.
 type freedRate struct {
 	sum float64
 	at  time.Time
 }
 
-// note counts tokens that ended; growth of the account counts as nothing.
-func (r *freedRate) note(tokens int64, now time.Time) {
-	r.sum = r.faded(now) + float64(max(tokens, 0))
+// add counts freed tokens. Negative values, from growth of the account, are ignored.
+func (r *freedRate) add(tokens int64, now time.Time) {
+	r.sum = r.decayed(now) + float64(max(tokens, 0))
 	r.at = now
 }
 
-func (r *freedRate) faded(now time.Time) float64 {
-	return r.sum * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds())
+func (r *freedRate) decayed(now time.Time) float64 {
+	return r.sum * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
 
-func (r *freedRate) perSecond(now time.Time) float64 { return r.faded(now) / rateMemory.Seconds() }
+func (r *freedRate) perSecond(now time.Time) float64 {
+	return r.decayed(now) / rateTimeConstant.Seconds()
+}
 
+// The range of the retry time in refusals.
 const (
-	shortestRetry = 300 * time.Millisecond
-	longestRetry  = 5 * time.Second
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// retryAfter estimates when a job of so many tokens will fit.
+// retryAfter estimates the time after which a job with a number of tokens will fit.
 func retryAfter(tokens int64, outcome Outcome) time.Duration {
 	missing := float64(outcome.Waiting + tokens - outcome.Limit)
 	if outcome.FreedPerSecond <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
 	seconds := missing / outcome.FreedPerSecond
-	return min(max(time.Duration(seconds*float64(time.Second)), shortestRetry), longestRetry)
+	return min(max(time.Duration(seconds*float64(time.Second)), minRetryAfter), maxRetryAfter)
 }
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -1,10 +1,10 @@
 # Mutants of what waits: submissions while the store is away, and attempts that fall silent.
 mutant stale_commit internal/quota/ledger.go \
-	'isFresh = !isFresh' 'isFresh = false' internal/quota TestReservationsBehindAnOutageAreCommittedSoon
+	'isFresh = !isFresh' 'isFresh = false' internal/quota TestReservationsCommitSoonAfterOutage
 mutant waiting_keeper_passed_by internal/quota/accounts.go \
-	'if failure.HasCode(err, codeUnavailable) {' 'if false {' internal/quota TestKeeperThatWaitsForTheStoreIsAskedAgain
+	'if failure.HasCode(err, codeUnavailable) {' 'if false {' internal/quota TestCoordinatorWithoutStoreIsNotAvoided
 mutant reservations_not_first internal/quota/ledger.go \
-	'if !added.isReservation() {' 'if true {' internal/quota TestReservationsGoBeforeWhatIsRepeated
+	'if !added.isReservation() {' 'if true {' internal/quota TestReservationsPrecedeRepeatedOperations
 mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
 	'r.bytes+taken > r.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsHoldLittle
 mutant held_memory_not_given_back internal/job/held.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -163,19 +163,19 @@
 mutant no_shared_versions internal/frontend/frontend.go \
 	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsAreNoticedByWhatOthersSaw
 mutant no_total_condition internal/quota/plan.go \
-	'Conditions: []table.Condition{{Table: tableTotal, Key: keyTotal, Version: v.totalVersion}},' 'Conditions: []table.Condition{},' internal/quota 'TestTotalNeverPassesTheLimit|TestConcurrentReservationsFillTheAccountExactly'
+	'Conditions: []table.Condition{{Table: tableTotal, Key: keyTotal, Version: v.totalVersion}},' 'Conditions: []table.Condition{},' internal/quota 'TestTotalStaysWithinLimit|TestConcurrentReservationsReachLimit'
 mutant foreign_release internal/quota/plan.go \
-	'operation.Kind == KindRelease && operation.Holder != r.Holder' 'false' internal/quota TestReleaseSparesALaterHolder
+	'operation.Kind == KindRelease && operation.Holder != r.Holder' 'false' internal/quota TestReleaseByFormerHolderIsIgnored
 mutant no_settling_epoch internal/quota/plan.go \
-	'operation.Kind == KindSettle && operation.Epoch < r.Epoch' 'false' internal/quota TestSettlingUnderALowerEpochChangesNothing
+	'operation.Kind == KindSettle && operation.Epoch < r.Epoch' 'false' internal/quota TestSettleWithLowerEpochIsIgnored
 mutant no_newest_limit internal/quota/plan.go \
-	'if limit.Config >= t.Config {' 'if true {' internal/quota TestNewerLimitHoldsForDaemonsThatDoNotKnowIt
+	'if limit.Config >= t.Config {' 'if true {' internal/quota TestNewerLimitAppliesToOutdatedDaemons
 mutant release_of_earlier_tries internal/job/waiting.go \
 	'if !held.isNew {' 'if !held.isBounded() {' internal/job TestRefusedTryKeepsTheReservationOfAnUnsettledOne
 mutant no_void_condition internal/job/accept.go \
 	', {Table: tableVoid, Key: submitted.ID, Version: held.voided}' '' internal/job 'TestReservationOfADeadDaemonIsSwept|TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun'
 mutant resent_counts_twice internal/quota/plan.go \
-	'isNew := held.Tokens == 0' 'isNew := true' internal/quota TestReleaseSparesALaterHolder
+	'isNew := current.Tokens == 0' 'isNew := true' internal/quota TestReleaseByFormerHolderIsIgnored
 mutant no_place internal/serving/exchange.go \
 	'e.excluded[e.last.ID] = true
 			continue' 'continue' internal/serving TestRequestGoesWhereAPlaceIs
