--- a/internal/quarantine/cluster.go
+++ b/internal/quarantine/cluster.go
@@ -13,7 +13,7 @@
 	// keyEvidence is the hint key's prefix; the name of the sending daemon follows.
 	keyEvidence = "crash-evidence/"
 	// evidencePerNotice limits a datagram to less than 1,200 bytes: each piece of
-	// evidence takes 40 to 60.
+	// evidence takes 40 to 60 bytes.
 	evidencePerNotice = 16
 )
 
@@ -34,14 +34,14 @@
 }
 
 // Listen passes the notices of other daemons to the guard.
-func (s *ClusterPublisher) Listen(guard *Guard) {
-	s.node.Subscribe(func(event membership.Event) {
+func (p *ClusterPublisher) Listen(guard *Guard) {
+	p.node.Subscribe(func(event membership.Event) {
 		if event.Kind != membership.EventHint || !strings.HasPrefix(event.Item.Key, keyEvidence) {
 			return
 		}
 		notice, err := DecodeNotice(event.Item.Payload)
 		if err != nil {
-			s.log.Warn("evidence_unreadable", "key", event.Item.Key, "error", err)
+			p.log.Warn("evidence_unreadable", "key", event.Item.Key, "error", err)
 			return
 		}
 		guard.Receive(notice, SourcePeer)
@@ -49,42 +49,42 @@
 }
 
 // Publish implements Publisher.
-func (s *ClusterPublisher) Publish(notice Notice) {
-	if s.recorder != nil {
-		s.recorder.Write(notice.Evidence)
+func (p *ClusterPublisher) Publish(notice Notice) {
+	if p.recorder != nil {
+		p.recorder.Write(notice.Evidence)
 	}
-	s.Notify(notice)
+	p.Notify(notice)
 }
 
 // Notify implements Publisher.
-func (s *ClusterPublisher) Notify(notice Notice) {
+func (p *ClusterPublisher) Notify(notice Notice) {
 	for start := 0; start < len(notice.Evidence); start += evidencePerNotice {
-		s.notifyAll(Notice{Evidence: notice.Evidence[start:min(start+evidencePerNotice, len(notice.Evidence))]})
+		p.notifyAll(Notice{Evidence: notice.Evidence[start:min(start+evidencePerNotice, len(notice.Evidence))]})
 	}
 	if len(notice.Cleared) > 0 {
-		s.notifyAll(Notice{Cleared: notice.Cleared})
+		p.notifyAll(Notice{Cleared: notice.Cleared})
 	}
 }
 
 // Withdraw implements Publisher.
-func (s *ClusterPublisher) Withdraw(keys []RowKey) {
-	if s.recorder != nil {
-		s.recorder.Remove(keys)
+func (p *ClusterPublisher) Withdraw(keys []RowKey) {
+	if p.recorder != nil {
+		p.recorder.Remove(keys)
 	}
 }
 
 // notifyAll sends a notice to every other daemon.
-func (s *ClusterPublisher) notifyAll(notice Notice) {
+func (p *ClusterPublisher) notifyAll(notice Notice) {
 	payload, err := EncodeNotice(notice)
 	if err != nil {
-		s.log.Error("evidence_not_encoded", "error", err)
+		p.log.Error("evidence_not_encoded", "error", err)
 		return
 	}
-	self := s.node.Self().Name
+	self := p.node.Self().Name
 	item := membership.Item{Key: keyEvidence + self, Version: time.Now().UnixNano(), Priority: membership.PriorityLoad, Payload: payload}
-	for _, member := range s.node.Members() {
+	for _, member := range p.node.Members() {
 		if member.Name != self {
-			s.node.Hint(member.Name, item)
+			p.node.Hint(member.Name, item)
 		}
 	}
 }
--- a/internal/quarantine/recorder.go
+++ b/internal/quarantine/recorder.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// recorderQueue is the maximum number of changes that wait for the store. Each crash
-	// that this daemon observes is one change.
+	// recorderQueue is the maximum number of queued changes. The evidence of one crash that
+	// this daemon observes is one change.
 	recorderQueue = 256
 	// rowsPerCommit is the store's limit on the entries of a transaction.
 	rowsPerCommit = 100
+	// recordTimeout is the timeout of one commit.
 	recordTimeout = time.Second
 	// recordPause is the mean pause after the first failed commit. It doubles up to
 	// maxRecordPause.
