--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -5,74 +5,71 @@
 	"time"
 )
 
-// shortestWait and longestWait bound the time that a refused request is told to
-// wait.
+// minRetryAfter and maxRetryAfter bound the retry delay given to refused requests.
 const (
-	shortestWait = 50 * time.Millisecond
-	longestWait  = 2 * time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// bucket is a token bucket. Its times are by the steady clock.
+// bucket is a token bucket. Its times are monotonic.
 type bucket struct {
-	// level is how many requests may be granted now; it falls below zero when
-	// requests were charged that nobody was asked for.
+	// level is the number of available tokens. It is negative after charges that exceed it.
 	level float64
 	at    time.Time
-	// promisedUntil is when the bucket will have room for all that were refused
-	// and told when to come back.
-	promisedUntil time.Time
+	// nextRetryAt is the earliest retry time for the next refused request.
+	nextRetryAt time.Time
 }
 
 func newBucket(s share, now time.Time) bucket { return bucket{level: s.start, at: now} }
 
-// flow adds what has come in since the last time.
-func (b *bucket) flow(s share, now time.Time) {
+// refill adds the tokens accrued since the last call.
+func (b *bucket) refill(s share, now time.Time) {
 	elapsed := max(now.Sub(b.at).Seconds(), 0)
 	b.level = min(b.level+elapsed*s.perSecond, s.capacity)
 	b.at = now
 }
 
-// take grants a request if there is room.
+// take removes a token and reports whether one was available.
 func (b *bucket) take(s share, now time.Time) bool {
-	b.flow(s, now)
-	isEnough := b.level >= 1 || (s.isByChance && rand.Float64() < b.level)
-	if isEnough {
+	b.refill(s, now)
+	isGranted := b.level >= 1 || (s.isProbabilistic && rand.Float64() < b.level)
+	if isGranted {
 		b.level--
 	}
-	return isEnough
+	return isGranted
 }
 
-// charge counts a request that is not asked for.
+// charge removes a token even if none is available.
 func (b *bucket) charge(s share, now time.Time) {
-	b.flow(s, now)
+	b.refill(s, now)
 	b.level = max(b.level-1, -s.capacity)
 }
 
-// give takes a granted request back.
-func (b *bucket) give(s share, now time.Time) {
-	b.flow(s, now)
+// refund adds the token of a granted request back.
+func (b *bucket) refund(s share, now time.Time) {
+	b.refill(s, now)
 	b.level = min(b.level+1, s.capacity)
 }
 
-// wait returns when a request that was refused now finds room, behind those
-// refused before it: told one time each, they do not come back together.
-func (b *bucket) wait(s share, now time.Time) time.Duration {
+// retryAfter returns the retry delay of a request that is refused now. Each refused request
+// gets a later time than the one before, so that callers don't retry together.
+func (b *bucket) retryAfter(s share, now time.Time) time.Duration {
 	if s.perSecond <= 0 {
-		return longestWait
+		return maxRetryAfter
 	}
 	next := now.Add(secondsOf((1 - b.level) / s.perSecond))
-	if b.promisedUntil.After(next) {
-		next = b.promisedUntil
+	if b.nextRetryAt.After(next) {
+		next = b.nextRetryAt
 	}
 	wait := next.Sub(now)
-	if wait >= longestWait {
-		return longestWait
+	if wait >= maxRetryAfter {
+		return maxRetryAfter
 	}
-	// Every keeper is asked for the same request, and all parts fill meanwhile.
-	b.promisedUntil = next.Add(secondsOf(1 / s.limitPerSecond))
-	return max(wait, shortestWait)
+	// All coordinators are asked for the same request, and all shards refill meanwhile.
+	b.nextRetryAt = next.Add(secondsOf(1 / s.limitPerSecond))
+	return max(wait, minRetryAfter)
 }
 
 func secondsOf(seconds float64) time.Duration {
-	return time.Duration(min(seconds, longestWait.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/ratelimit/fleet.go
+++ b/internal/ratelimit/fleet.go
@@ -10,16 +10,14 @@
 	"topazpulley/internal/peer"
 )
 
-// methodAsk is the method of the peer protocol by which daemons ask keepers.
+// methodAsk is the peer protocol method for requests to coordinators.
 const methodAsk = "ratelimit.ask"
 
-// settlingTime is how long the daemons of a fleet that starts at once need to
-// find each other. Until then the daemons that registered in earlier lives count
-// as members, so that all agree on the keepers.
+// settlingTime is the time that daemons started together need to discover each other. Until
+// then registered daemons count as members, so that all agree on the coordinators.
 const settlingTime = 3 * time.Second
 
-// ClusterFleet is the fleet as the membership knows it. mutex guards the fields
-// behind it.
+// ClusterFleet is the fleet according to the membership. mutex guards the fields after it.
 type ClusterFleet struct {
 	node      *cluster.Node
 	transport *peer.Transport
@@ -28,27 +26,26 @@
 	mutex        sync.Mutex
 	registered   []Daemon
 	isRegistered bool
-	sightings    sightings
+	recent       recentDaemons
 }
 
 var _ Fleet = (*ClusterFleet)(nil)
 
 // NewClusterFleet returns the fleet of a daemon that starts now.
 func NewClusterFleet(node *cluster.Node, transport *peer.Transport) *ClusterFleet {
-	return &ClusterFleet{node: node, transport: transport, startedAt: time.Now(), sightings: sightings{}}
+	return &ClusterFleet{node: node, transport: transport, startedAt: time.Now(), recent: recentDaemons{}}
 }
 
-// Handle has a limiter answer other daemons. It must be called before the
-// transport starts.
+// Handle registers a limiter to answer other daemons. It must be called before the transport
+// starts.
 func (f *ClusterFleet) Handle(limiter *Limiter) {
 	peer.Handle(f.transport, methodAsk, func(_ context.Context, from string, request Request) (Answer, error) {
-		limiter.Heard(from)
+		limiter.RecordAsk(from)
 		return limiter.Serve(request), nil
 	})
 }
 
-// SetRegistered tells which daemons have registered, in this life or an earlier
-// one.
+// SetRegistered sets the daemons that have registered, also before this daemon's start.
 func (f *ClusterFleet) SetRegistered(daemons []Daemon) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -69,18 +66,18 @@
 	now := time.Now()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	missing := f.sightings.missed(live, f.hasLeft, now)
+	missing := f.recent.missing(live, f.hasLeft, now)
 	if now.Sub(f.startedAt) < settlingTime {
-		return View{Daemons: f.withUnheard(live), IsKnown: f.isRegistered || len(live) > 1}
+		return View{Daemons: f.withRegistered(live), IsKnown: f.isRegistered || len(live) > 1}
 	}
 	return View{Daemons: live, Missing: missing, IsKnown: true}
 }
 
-// withUnheard adds the registered daemons of which the membership has not heard.
-// mutex must be held.
-func (f *ClusterFleet) withUnheard(live []Daemon) []Daemon {
+// withRegistered adds the registered daemons that the membership doesn't contain. mutex must be
+// held.
+func (f *ClusterFleet) withRegistered(live []Daemon) []Daemon {
 	for _, daemon := range f.registered {
-		if _, isHeard := f.node.Member(daemon.Name); !isHeard {
+		if _, isMember := f.node.Member(daemon.Name); !isMember {
 			live = append(live, daemon)
 		}
 	}
@@ -88,8 +85,8 @@
 }
 
 func (f *ClusterFleet) hasLeft(name string) bool {
-	member, isHeard := f.node.Member(name)
-	return isHeard && member.State == membership.StateLeft
+	member, isMember := f.node.Member(name)
+	return isMember && member.State == membership.StateLeft
 }
 
 // Ask implements Fleet.
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -13,59 +13,56 @@
 )
 
 const (
-	// keeperPatience bounds one question to a keeper: ten times what a quiet
-	// daemon of another zone needs. A silent one is passed by for keeperRest.
-	keeperPatience = 40 * time.Millisecond
-	keeperRest     = 2 * time.Second
-	// admissionPatience bounds all questions for one request, to a third of the
-	// shortest objective that callers have.
-	admissionPatience = 100 * time.Millisecond
-	// tellPatience bounds what is told to a keeper after the decision.
-	tellPatience = 500 * time.Millisecond
-	// restAfter is the time between two refusals of a tenant below which a daemon
-	// spares the keepers: it refuses the tenant without asking until there will be
-	// room, but no longer than longestRest. Slower than that every request is
-	// asked for, because whoever comes first should have the room.
-	restAfter   = 50 * time.Millisecond
-	longestRest = 250 * time.Millisecond
-	// retryAfterAlone is the advice to callers of a daemon that reaches no keeper:
-	// another daemon may.
-	retryAfterAlone = 300 * time.Millisecond
-	// fleetPatience bounds the wait of a request until a daemon that has just
-	// started knows the fleet: two calls to a store that many ask at once.
-	fleetPatience = 500 * time.Millisecond
-	fleetPoll     = 10 * time.Millisecond
-	// assumedFleet is the size that is assumed of a fleet that is not known yet.
-	assumedFleet = 100
+	// coordinatorTimeout bounds one request to a coordinator. A coordinator that did not answer
+	// is not asked again for silentRetryTime.
+	coordinatorTimeout = 40 * time.Millisecond
+	silentRetryTime    = 2 * time.Second
+	// admissionTimeout bounds all requests to coordinators for one decision.
+	admissionTimeout = 100 * time.Millisecond
+	// notifyTimeout bounds a charge or return that is sent after the decision.
+	notifyTimeout = 500 * time.Millisecond
+	// minRefusalGap and maxLocalRefusal control local refusals: a tenant with two refusals
+	// within minRefusalGap is refused locally until its retry time, but for at most
+	// maxLocalRefusal. Otherwise every request is sent to a coordinator.
+	minRefusalGap   = 50 * time.Millisecond
+	maxLocalRefusal = 250 * time.Millisecond
+	// retryAfterOwnShare is the retry delay while no coordinator is reached: another daemon may
+	// reach one.
+	retryAfterOwnShare = 300 * time.Millisecond
+	// fleetTimeout bounds the wait of a request for a known fleet after the daemon's start.
+	fleetTimeout      = 500 * time.Millisecond
+	fleetPollInterval = 10 * time.Millisecond
+	// assumedFleetSize is the fleet size assumed until the fleet is known.
+	assumedFleetSize = 100
 )
 
-// Limiter decides for a daemon whether requests of tenants fit. It is safe for
-// concurrent use; mutex guards the fields behind it.
+// Limiter decides whether tenants' requests are within their limits. It is safe for concurrent
+// use; mutex guards the fields after it.
 type Limiter struct {
 	fleet     Fleet
 	tolerance Tolerance
 	metrics   *telemetry.Tenants
 	log       *slog.Logger
 	rankings  *rankings
-	// keeping are the buckets of tenants of whose limit this daemon keeps a
-	// part; own those by which it decides while it reaches no keeper.
-	keeping *buckets
-	own     *buckets
-	// now is the steady clock, which stands still while the machine sleeps: what flows
-	// in meanwhile others grant.
+	// shardBuckets are the buckets that this daemon grants from as a coordinator or backup;
+	// ownBuckets those that it uses while it reaches no coordinator.
+	shardBuckets *buckets
+	ownBuckets   *buckets
+	// now is the monotonic clock, which stops while the machine is suspended: other daemons
+	// grant the tokens accrued meanwhile.
 	now func() time.Time
 
 	mutex sync.Mutex
-	// silentUntil is by the name of a daemon that did not answer.
+	// silentUntil is the time until which a daemon is not asked, by name.
 	silentUntil map[string]time.Time
-	// refused is by tenant.
+	// refused holds the last refusal by tenant.
 	refused map[string]refusal
 }
 
-// refusal is what keepers told of a tenant that has used up its limit.
+// refusal is the coordinators' last refusal of a tenant.
 type refusal struct {
 	at time.Time
-	// until is when the tenant is asked for again.
+	// until is the time before which requests are refused locally.
 	until  time.Time
 	config int64
 }
@@ -74,30 +71,28 @@
 func New(fleet Fleet, tolerance Tolerance, metrics *telemetry.Tenants, log *slog.Logger) *Limiter {
 	made := &Limiter{
 		fleet: fleet, tolerance: tolerance, metrics: metrics, log: log,
-		keeping: newBuckets(), own: newBuckets(), silentUntil: map[string]time.Time{}, refused: map[string]refusal{},
+		shardBuckets: newBuckets(), ownBuckets: newBuckets(), silentUntil: map[string]time.Time{}, refused: map[string]refusal{},
 		now: time.Now,
 	}
 	made.rankings = newRankings(fleet)
-	made.rankings.changed = made.noteGranted
-	metrics.SetGranted(wholeReach)
+	made.rankings.onChange = made.recordGrantedShare
+	metrics.SetGranted(fullReach)
 	return made
 }
 
-// WatchFleet looks at the fleet until the context ends, while there are limits. A daemon
-// that looks only when it is asked does not know, once a part of the fleet is cut off,
-// whom it misses: a quarter cut off before anybody had asked admitted 4,146 where 2,660
-// are allowed, and 2,053 with this.
+// WatchFleet refreshes the view of the fleet until the context ends, as long as hasLimits
+// returns true. Otherwise a daemon without requests would not detect a network partition.
 func (l *Limiter) WatchFleet(ctx context.Context, hasLimits func() bool) {
-	periodic.Run(ctx, rankingAge, func() {
+	periodic.Run(ctx, rankingInterval, func() {
 		if hasLimits() {
-			l.rankings.watch(l.now())
+			l.rankings.refresh(l.now())
 		}
 	})
 }
 
-// noteGranted tells that this daemon grants another share of its parts of limits than
-// before, because it reaches another part of the fleet.
-func (l *Limiter) noteGranted(before, after ranking) {
+// recordGrantedShare records that the share that this daemon grants of its shards has changed,
+// because another part of the fleet reaches it.
+func (l *Limiter) recordGrantedShare(before, after ranking) {
 	l.metrics.SetGranted(after.reach)
 	l.log.Info("limit_granted_share_changed",
 		"before", before.reach, "after", after.reach, "fleet", after.fleet, "unreached", after.unreached)
@@ -117,189 +112,190 @@
 }
 
 func (l *Limiter) decide(ctx context.Context, name string, limit Limit, now time.Time) Decision {
-	if wait := l.restOf(name, limit.Config, now); wait > 0 {
+	if wait := l.localRefusal(name, limit.Config, now); wait > 0 {
 		return Decision{RetryAfter: wait, Source: SourceRecent, Config: limit.Config}
 	}
 	order := l.awaitFleet(ctx, name, now)
 	if !order.isKnown || len(order.daemons) == 0 {
-		return l.decideAlone(name, limit, order, now)
+		return l.decideLocally(name, limit, order, now)
 	}
-	bounded, cancel := context.WithTimeout(ctx, admissionPatience)
+	bounded, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
-	asking := round{limiter: l, request: takeRequest(name, limit)}
-	asking.askKeepers(bounded, order, l.partsOf(limit, order))
-	if !asking.isHeard {
-		alone := l.decideAlone(name, limit, order, l.now())
-		alone.Asked, alone.Silent = asking.best.Asked, asking.best.Silent
-		return alone
+	asking := inquiry{limiter: l, request: takeRequest(name, limit)}
+	asking.askCoordinators(bounded, order, l.shardCount(limit, order))
+	if !asking.isAnswered {
+		local := l.decideLocally(name, limit, order, l.now())
+		local.Asked, local.Silent = asking.best.Asked, asking.best.Silent
+		return local
 	}
 	if !asking.best.IsAdmitted {
-		l.rest(name, asking.best, l.now())
+		l.recordRefusal(name, asking.best, l.now())
 	}
 	return asking.best
 }
 
-// awaitFleet returns the order of daemons for a tenant. A daemon that has just
-// started learns the fleet within moments; a request waits for that, because
-// nobody can tell what is left of its tenant's limit.
+// awaitFleet returns the ranking of daemons for a tenant. After the start it waits up to
+// fleetTimeout until the fleet is known.
 func (l *Limiter) awaitFleet(ctx context.Context, name string, started time.Time) ranking {
-	order := l.rankings.of(name, started)
-	for !order.isKnown && l.now().Sub(started) < fleetPatience && periodic.Sleep(ctx, fleetPoll) {
-		order = l.rankings.of(name, l.now())
+	order := l.rankings.forTenant(name, started)
+	for !order.isKnown && l.now().Sub(started) < fleetTimeout && periodic.Sleep(ctx, fleetPollInterval) {
+		order = l.rankings.forTenant(name, l.now())
 	}
 	return order
 }
 
-func (l *Limiter) partsOf(limit Limit, order ranking) int {
-	return min(l.tolerance.parts(limit.Limit, mostParts), len(order.daemons))
+func (l *Limiter) shardCount(limit Limit, order ranking) int {
+	return min(l.tolerance.shardCount(limit.Limit, maxShards), len(order.daemons))
 }
 
 func takeRequest(name string, limit Limit) Request {
 	return Request{Operation: OperationTake, Tenant: name, PerSecond: limit.PerSecond, Burst: limit.Burst, Config: limit.Config}
 }
 
-// round is the questions for one request.
-type round struct {
+// inquiry is the sequence of requests to daemons for one decision.
+type inquiry struct {
 	limiter *Limiter
 	request Request
-	// best is the decision so far; isHeard tells that some daemon made one.
-	best    Decision
-	isHeard bool
+	// best is the decision so far; isAnswered is true once a daemon answered.
+	best       Decision
+	isAnswered bool
 }
 
-// askKeepers asks the keepers of all parts, from one drawn at random on, until
-// one grants, and a further daemon for each keeper that is silent.
-func (r *round) askKeepers(ctx context.Context, order ranking, parts int) {
-	first := rand.IntN(parts)
-	for index := range parts {
-		if r.ask(ctx, order.daemons[(first+index)%parts]) {
+// askCoordinators asks the coordinators of all shards, starting with a random one, until one
+// grants the request. It asks one backup for each coordinator that does not answer.
+func (r *inquiry) askCoordinators(ctx context.Context, order ranking, shards int) {
+	first := rand.IntN(shards)
+	for index := range shards {
+		if r.ask(ctx, order.daemons[(first+index)%shards]) {
 			return
 		}
 	}
-	for _, standIn := range order.daemons[parts:] {
-		if r.best.Asked-parts >= r.best.Silent {
+	for _, backup := range order.daemons[shards:] {
+		if r.best.Asked-shards >= r.best.Silent {
 			return
 		}
-		if r.ask(ctx, standIn) {
+		if r.ask(ctx, backup) {
 			return
 		}
 	}
 }
 
 // ask asks one daemon and reports whether it granted the request.
-func (r *round) ask(ctx context.Context, keeper Daemon) bool {
+func (r *inquiry) ask(ctx context.Context, coordinator Daemon) bool {
 	r.best.Asked++
-	answer, err := r.limiter.ask(ctx, keeper, r.request)
+	answer, err := r.limiter.ask(ctx, coordinator, r.request)
 	if err != nil {
 		r.best.Silent++
 		return false
 	}
 	wait := time.Duration(answer.WaitMilliseconds) * time.Millisecond
-	if r.isHeard && !answer.IsGranted && wait >= r.best.RetryAfter {
+	if r.isAnswered && !answer.IsGranted && wait >= r.best.RetryAfter {
 		return false
 	}
-	r.isHeard = true
-	r.best.IsAdmitted, r.best.RetryAfter, r.best.Coordinator = answer.IsGranted, wait, keeper.Name
+	r.isAnswered = true
+	r.best.IsAdmitted, r.best.RetryAfter, r.best.Coordinator = answer.IsGranted, wait, coordinator.Name
 	r.best.Level, r.best.Config, r.best.Source = answer.Level, answer.Config, SourceCoordinator
-	if answer.IsStandIn {
+	if answer.IsBackup {
 		r.best.Source = SourceBackup
 	}
 	return answer.IsGranted
 }
 
-// ask sends a request to a keeper, which may be this daemon.
-func (l *Limiter) ask(ctx context.Context, keeper Daemon, request Request) (Answer, error) {
-	if keeper.Name == l.fleet.Self() {
+// ask sends a request to a coordinator, which may be this daemon.
+func (l *Limiter) ask(ctx context.Context, coordinator Daemon, request Request) (Answer, error) {
+	if coordinator.Name == l.fleet.Self() {
 		return l.Serve(request), nil
 	}
-	if l.isSilent(keeper.Name, l.now()) {
-		return Answer{}, silentError(keeper.Name)
+	if l.isSilent(coordinator.Name, l.now()) {
+		return Answer{}, silentError(coordinator.Name)
 	}
-	bounded, cancel := context.WithTimeout(ctx, keeperPatience)
+	bounded, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
-	answer, err := l.fleet.Ask(bounded, keeper.Address, request)
+	answer, err := l.fleet.Ask(bounded, coordinator.Address, request)
 	if err != nil && ctx.Err() == nil {
-		l.noteSilent(keeper.Name, err, l.now())
+		l.recordSilent(coordinator.Name, err, l.now())
 	}
 	return answer, err
 }
 
-// silentError tells that a daemon did not answer a moment ago and was not asked.
+// silentError is the error for a daemon that was not asked because it recently did not answer.
 type silentError string
 
 // Error implements error.
-func (e silentError) Error() string { return "daemon " + string(e) + " was silent a moment ago" }
+func (e silentError) Error() string {
+	return "daemon " + string(e) + " did not answer a recent request"
+}
 
-// Heard notes that another daemon asked this one, which it therefore reaches.
-func (l *Limiter) Heard(name string) { l.rankings.heard(name, l.now()) }
+// RecordAsk records that another daemon has sent this one a request, and so can reach it.
+func (l *Limiter) RecordAsk(name string) { l.rankings.recordAsk(name, l.now()) }
 
-// Serve answers a request of another daemon, or of this one.
+// Serve answers a request of another daemon or of this one.
 func (l *Limiter) Serve(request Request) Answer {
 	now := l.now()
-	order := l.rankings.of(request.Tenant, now)
+	order := l.rankings.forTenant(request.Tenant, now)
 	limit := Limit{Limit: tenant.Limit{PerSecond: request.PerSecond, Burst: request.Burst}, Config: request.Config}
 	rank := order.rank(l.fleet.Self())
-	isStandIn := false
-	answer := l.keeping.apply(request.Operation, request.Tenant, limit, func(bound tenant.Limit, _ time.Duration) share {
-		parts := l.partsOf(Limit{Limit: bound}, order)
-		isStandIn = rank < 0 || rank >= parts || !order.isKnown
-		if isStandIn {
-			return l.tolerance.standIn(bound, l.tolerance.parts(bound, mostParts), order.reach)
+	isBackup := false
+	answer := l.shardBuckets.apply(request.Operation, request.Tenant, limit, func(bound tenant.Limit, _ time.Duration) share {
+		shards := l.shardCount(Limit{Limit: bound}, order)
+		isBackup = rank < 0 || rank >= shards || !order.isKnown
+		if isBackup {
+			return l.tolerance.backupShard(bound, l.tolerance.shardCount(bound, maxShards), order.reach)
 		}
-		return l.tolerance.part(bound, parts, order.reach)
+		return l.tolerance.shard(bound, shards, order.reach)
 	}, now)
-	answer.IsStandIn = isStandIn
+	answer.IsBackup = isBackup
 	return answer
 }
 
-// decideAlone decides by this daemon's own share of the limit.
-func (l *Limiter) decideAlone(name string, limit Limit, order ranking, now time.Time) Decision {
-	answer := l.applyAlone(OperationTake, name, limit, order, now)
+// decideLocally decides by this daemon's own share of the limit.
+func (l *Limiter) decideLocally(name string, limit Limit, order ranking, now time.Time) Decision {
+	answer := l.applyLocally(OperationTake, name, limit, order, now)
 	wait := time.Duration(answer.WaitMilliseconds) * time.Millisecond
 	return Decision{
-		IsAdmitted: answer.IsGranted, RetryAfter: min(wait, retryAfterAlone),
+		IsAdmitted: answer.IsGranted, RetryAfter: min(wait, retryAfterOwnShare),
 		Source: SourceShare, Coordinator: l.fleet.Self(), Level: answer.Level, Config: answer.Config,
 	}
 }
 
-func (l *Limiter) applyAlone(operation Operation, name string, limit Limit, order ranking, now time.Time) Answer {
-	fleet := order.fleet
+func (l *Limiter) applyLocally(operation Operation, name string, limit Limit, order ranking, now time.Time) Answer {
+	fleetSize := order.fleet
 	if !order.isKnown {
-		fleet = max(fleet, assumedFleet)
+		fleetSize = max(fleetSize, assumedFleetSize)
 	}
-	return l.own.apply(operation, name, limit, func(bound tenant.Limit, decidedFor time.Duration) share {
-		return l.tolerance.alone(bound, fleet).unnoticed(decidedFor)
+	return l.ownBuckets.apply(operation, name, limit, func(bound tenant.Limit, decidedFor time.Duration) share {
+		return l.tolerance.ownShare(bound, fleetSize).beforeDetection(decidedFor)
 	}, now)
 }
 
 // Charge counts one more run of an admitted request.
 func (l *Limiter) Charge(made Decision, name string, limit Limit) {
-	l.tell(made, name, limit, OperationCharge)
+	l.notify(made, name, limit, OperationCharge)
 }
 
-// Return gives back what was granted to a request that never ran.
+// Return refunds an admitted request that never ran.
 func (l *Limiter) Return(made Decision, name string, limit Limit) {
-	l.tell(made, name, limit, OperationReturn)
+	l.notify(made, name, limit, OperationReturn)
 }
 
-// tell sends what nobody waits for to the daemon that decided.
-func (l *Limiter) tell(made Decision, name string, limit Limit, operation Operation) {
+// notify sends a charge or return to the daemon that decided, without waiting for the answer.
+func (l *Limiter) notify(made Decision, name string, limit Limit, operation Operation) {
 	if !made.IsAdmitted || !limit.IsBounded() {
 		return
 	}
 	request := takeRequest(name, limit)
 	request.Operation = operation
-	order := l.rankings.of(name, l.now())
+	order := l.rankings.forTenant(name, l.now())
 	if made.Source == SourceShare {
-		l.applyAlone(operation, name, limit, order, l.now())
+		l.applyLocally(operation, name, limit, order, l.now())
 		return
 	}
 	rank := order.rank(made.Coordinator)
 	if rank < 0 {
-		return // no keeper any more: its bucket counts no longer
+		return // no longer ranked, so its bucket is not used
 	}
 	go func() {
-		bounded, cancel := context.WithTimeout(context.Background(), tellPatience)
+		bounded, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if _, err := l.ask(bounded, order.daemons[rank], request); err != nil {
 			l.log.Info("limit_not_told", "tenant", name, "keeper", made.Coordinator, "operation", int(operation), "error", err)
@@ -313,35 +309,35 @@
 	return now.Before(l.silentUntil[name])
 }
 
-func (l *Limiter) noteSilent(name string, cause error, now time.Time) {
+func (l *Limiter) recordSilent(name string, cause error, now time.Time) {
 	l.mutex.Lock()
 	isNew := !now.Before(l.silentUntil[name])
-	l.silentUntil[name] = now.Add(keeperRest)
+	l.silentUntil[name] = now.Add(silentRetryTime)
 	l.mutex.Unlock()
 	if isNew {
-		l.log.Info("limit_keeper_silent", "keeper", name, "rest_ms", keeperRest.Milliseconds(), "error", cause)
+		l.log.Info("limit_keeper_silent", "keeper", name, "rest_ms", silentRetryTime.Milliseconds(), "error", cause)
 	}
 }
 
-// restOf returns for how long a tenant is refused here without asking.
-func (l *Limiter) restOf(name string, config int64, now time.Time) time.Duration {
+// localRefusal returns how long a tenant is still refused without asking a coordinator.
+func (l *Limiter) localRefusal(name string, config int64, now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	told, isKnown := l.refused[name]
-	if !isKnown || told.config != config || !now.Before(told.until) {
+	last, isKnown := l.refused[name]
+	if !isKnown || last.config != config || !now.Before(last.until) {
 		return 0
 	}
-	return told.until.Sub(now)
+	return last.until.Sub(now)
 }
 
-// rest notes a refusal and, if refusals follow each other closely, refuses the
-// tenant here until a keeper has room for it again.
-func (l *Limiter) rest(name string, made Decision, now time.Time) {
+// recordRefusal records a refusal. If the last one is less than minRefusalGap ago, the tenant
+// is refused locally until its retry time, for at most maxLocalRefusal.
+func (l *Limiter) recordRefusal(name string, made Decision, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	noted := refusal{at: now, config: made.Config}
-	if now.Sub(l.refused[name].at) < restAfter {
-		noted.until = now.Add(min(made.RetryAfter, longestRest))
+	latest := refusal{at: now, config: made.Config}
+	if now.Sub(l.refused[name].at) < minRefusalGap {
+		latest.until = now.Add(min(made.RetryAfter, maxLocalRefusal))
 	}
-	l.refused[name] = noted
+	l.refused[name] = latest
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -17,9 +17,9 @@
 	"topazpulley/internal/tenant"
 )
 
-// TestBucketGrantsNoMoreThanFlowedIn in any span, whatever is asked, charged and
-// given back within what was granted.
-func TestBucketGrantsNoMoreThanFlowedIn(t *testing.T) {
+// TestBucketGrantsWithinCapacityAndRefill fails if a bucket grants more in some span than its
+// capacity and refill allow.
+func TestBucketGrantsWithinCapacityAndRefill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := share{perSecond: rapid.Float64Range(0.1, 50).Draw(t, "rate"), capacity: rapid.Float64Range(1, 30).Draw(t, "capacity")}
 		own.limitPerSecond = own.perSecond
@@ -32,9 +32,9 @@
 				granted = append(granted, now)
 				continue
 			}
-			wait := held.wait(own, now)
+			wait := held.retryAfter(own, now)
 			require.Positive(t, wait)
-			require.LessOrEqual(t, wait, longestWait)
+			require.LessOrEqual(t, wait, maxRetryAfter)
 		}
 		for first := range granted {
 			for last := first; last < len(granted); last++ {
@@ -45,88 +45,89 @@
 	})
 }
 
-// TestRefusedRequestsAreToldDifferentTimes: one for each request that flows in.
-func TestRefusedRequestsAreToldDifferentTimes(t *testing.T) {
+// TestRefusedRequestsGetDistinctRetryTimes fails if refused callers get the same retry time and
+// return together.
+func TestRefusedRequestsGetDistinctRetryTimes(t *testing.T) {
 	own := share{perSecond: 10, limitPerSecond: 10, capacity: 1}
 	now := time.Unix(1000, 0)
 	held := newBucket(own, now)
 	last := time.Duration(0)
 	for range 10 {
 		require.False(t, held.take(own, now))
-		wait := held.wait(own, now)
+		wait := held.retryAfter(own, now)
 		require.Greater(t, wait, last)
 		last = wait
 	}
 	require.InDelta(t, 1.0, last.Seconds(), 0.01)
 }
 
-// TestSharesStayWithinTheTolerance: the parts of a limit, the start after two
-// losses of all keepers, and what stands in, for limits of all sizes.
-func TestSharesStayWithinTheTolerance(t *testing.T) {
+// TestSharesStayWithinTolerance fails if shards, initial levels after two losses of all
+// coordinators and own shares exceed the tolerance, for limits of all sizes.
+func TestSharesStayWithinTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := tenant.Limit{PerSecond: rapid.Float64Range(0.1, 5000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 5000).Draw(t, "burst")}
-		parts := tolerance.parts(limit, mostParts)
+		shards := tolerance.shardCount(limit, maxShards)
 		capacity, start, rate := 0.0, 0.0, 0.0
-		for range parts {
-			part := tolerance.part(limit, parts, 1)
-			capacity, start, rate = capacity+part.capacity, start+part.start, rate+part.perSecond
+		for range shards {
+			one := tolerance.shard(limit, shards, 1)
+			capacity, start, rate = capacity+one.capacity, start+one.start, rate+one.perSecond
 		}
 		require.InDelta(t, limit.PerSecond, rate, limit.PerSecond/1e6)
 		excess := tolerance.excess(limit)
 		require.LessOrEqual(t, capacity+2*start, limit.Burst+excess+1e-6)
 		require.GreaterOrEqual(t, capacity, limit.Burst, "a burst that is allowed is refused")
-		alone := tolerance.alone(limit, 60)
-		require.LessOrEqual(t, 60*alone.start, excess*startShare+1e-6, "no daemon of the fleet reaches a keeper")
+		ownShare := tolerance.ownShare(limit, 60)
+		require.LessOrEqual(t, 60*ownShare.start, excess*startShare+1e-6, "all daemons use their own shares")
 	})
 }
 
-// loneFleet is a daemon that reaches nobody.
-type loneFleet struct{ view View }
+// isolatedFleet is a fleet whose other daemons are unreachable.
+type isolatedFleet struct{ view View }
 
-func (f loneFleet) Self() string { return "self" }
-func (f loneFleet) View() View   { return f.view }
-func (f loneFleet) Ask(ctx context.Context, _ string, _ Request) (Answer, error) {
+func (f isolatedFleet) Self() string { return "self" }
+func (f isolatedFleet) View() View   { return f.view }
+func (f isolatedFleet) Ask(ctx context.Context, _ string, _ Request) (Answer, error) {
 	<-ctx.Done()
 	return Answer{}, errUnreachable{}
 }
 
-func newLone(view View) *Limiter {
-	return New(loneFleet{view: view}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
+func newIsolated(view View) *Limiter {
+	return New(isolatedFleet{view: view}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
 }
 
-// TestDaemonThatReachesNoKeeper grants its share of the rate and nothing beyond,
-// and decides within the patience of a request.
-func TestDaemonThatReachesNoKeeper(t *testing.T) {
+// TestDaemonWithoutCoordinatorUsesOwnShare fails if a daemon that reaches no coordinator grants
+// more than its own share, or decides after the admission timeout.
+func TestDaemonWithoutCoordinatorUsesOwnShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		others := []Daemon{}
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 			others = append(others, Daemon{Name: name, Address: name})
 		}
-		limited := newLone(View{Daemons: others, IsKnown: true})
+		limited := newIsolated(View{Daemons: others, IsKnown: true})
 		granted := 0
 		end := time.Now().Add(20 * time.Second)
 		for time.Now().Before(end) {
 			started := time.Now()
 			made := limited.Admit(t.Context(), "t", limitOf(10))
-			require.LessOrEqual(t, time.Since(started), admissionPatience+keeperPatience)
+			require.LessOrEqual(t, time.Since(started), admissionTimeout+coordinatorTimeout)
 			require.Equal(t, SourceShare, made.Source)
 			if made.IsAdmitted {
 				granted++
 			} else {
 				require.Positive(t, made.RetryAfter)
-				require.LessOrEqual(t, made.RetryAfter, retryAfterAlone)
+				require.LessOrEqual(t, made.RetryAfter, retryAfterOwnShare)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.InDelta(t, 20*aloneRate, granted, 5, "a tenth of 10 a second for 20 s")
+		require.InDelta(t, 20*ownShareRate, granted, 5, "a tenth of 10 a second for 20 s")
 	})
 }
 
-// TestUnknownFleetGrantsNextToNothing: a daemon that has just started and knows
-// nobody may be one of many.
-func TestUnknownFleetGrantsNextToNothing(t *testing.T) {
+// TestUnknownFleetGrantsAlmostNothing fails if a newly started daemon without a known fleet
+// grants as if it were the only one.
+func TestUnknownFleetGrantsAlmostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limited := newLone(View{Daemons: []Daemon{{Name: "self", Address: "self"}}})
+		limited := newIsolated(View{Daemons: []Daemon{{Name: "self", Address: "self"}}})
 		var granted atomic.Int64
 		var group sync.WaitGroup
 		for range 100 {
@@ -139,55 +140,56 @@
 		}
 		group.Wait()
 		require.LessOrEqual(t, granted.Load(), int64(2))
-		// Asked by others meanwhile, it does not take itself for the only keeper.
+		// It answers other daemons as a backup.
 		answer := limited.Serve(takeRequest("other", limitOf(10)))
-		require.True(t, answer.IsStandIn)
+		require.True(t, answer.IsBackup)
 	})
 }
 
-// TestRequestsWaitUntilTheFleetIsKnown: a daemon that has just started decides
-// once it knows the others, and refuses nothing before.
-func TestRequestsWaitUntilTheFleetIsKnown(t *testing.T) {
+// TestRequestsWaitUntilFleetIsKnown fails if a newly started daemon refuses requests before it
+// knows the fleet.
+func TestRequestsWaitUntilFleetIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		knownAt := time.Now().Add(200 * time.Millisecond)
-		limited := New(learningFleet{knownAt: knownAt}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
+		limited := New(delayedFleet{knownAt: knownAt}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
 		made := limited.Admit(t.Context(), "t", limitOf(10))
 		require.True(t, made.IsAdmitted)
 		require.Equal(t, SourceCoordinator, made.Source)
-		require.WithinDuration(t, knownAt, time.Now(), 2*fleetPoll)
+		require.WithinDuration(t, knownAt, time.Now(), 2*fleetPollInterval)
 	})
 }
 
-// learningFleet is a fleet of one that does not know so until a time.
-type learningFleet struct {
-	loneFleet
+// delayedFleet is a fleet of one that is known from a given time on.
+type delayedFleet struct {
+	isolatedFleet
 	knownAt time.Time
 }
 
-func (f learningFleet) View() View {
+func (f delayedFleet) View() View {
 	return View{Daemons: []Daemon{{Name: "self", Address: "self"}}, IsKnown: !time.Now().Before(f.knownAt)}
 }
 
-// TestNoLimitAsksNobody.
-func TestNoLimitAsksNobody(t *testing.T) {
-	limited := newLone(View{})
+// TestUnlimitedTenantSendsNoRequests fails if a tenant without a limit is refused.
+func TestUnlimitedTenantSendsNoRequests(t *testing.T) {
+	limited := newIsolated(View{})
 	made := limited.Admit(t.Context(), "t", Limit{})
 	require.True(t, made.IsAdmitted)
 	require.Equal(t, SourceUnlimited, made.Source)
 	limited.Return(made, "t", Limit{})
 }
 
-// TestReturnedRequestsLeaveRoom, and charged ones take it.
-func TestReturnedRequestsLeaveRoom(t *testing.T) {
+// TestReturnAndChargeChangeTheLevel fails if a returned request isn't refunded, or a charged
+// one isn't counted.
+func TestReturnAndChargeChangeTheLevel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limited := newLone(View{Daemons: []Daemon{{Name: "self", Address: "self"}}, IsKnown: true})
+		limited := newIsolated(View{Daemons: []Daemon{{Name: "self", Address: "self"}}, IsKnown: true})
 		limit := limitOf(1)
 		granted := []Decision{}
 		for made := limited.Admit(t.Context(), "t", limit); made.IsAdmitted; made = limited.Admit(t.Context(), "t", limit) {
 			granted = append(granted, made)
 		}
 		require.NotEmpty(t, granted)
-		time.Sleep(longestRest)
+		time.Sleep(maxLocalRefusal)
 		limited.Return(granted[0], "t", limit)
 		synctest.Wait()
 		again := limited.Admit(t.Context(), "t", limit)
@@ -199,24 +201,25 @@
 	})
 }
 
-// TestOldLimitsReplaceNoNewerOnes.
-func TestOldLimitsReplaceNoNewerOnes(t *testing.T) {
-	limited := newLone(View{Daemons: []Daemon{{Name: "self", Address: "self"}}, IsKnown: true})
+// TestOlderConfigDoesNotReplaceNewerLimit fails if a limit of an older configuration replaces a
+// newer one.
+func TestOlderConfigDoesNotReplaceNewerLimit(t *testing.T) {
+	limited := newIsolated(View{Daemons: []Daemon{{Name: "self", Address: "self"}}, IsKnown: true})
 	newer, older := limitOf(10), limitOf(1000)
 	newer.Config = 7
 	require.EqualValues(t, 7, limited.Serve(takeRequest("t", newer)).Config)
 	require.EqualValues(t, 7, limited.Serve(takeRequest("t", older)).Config)
 }
 
-// TestMessagesSurviveTheWire.
-func TestMessagesSurviveTheWire(t *testing.T) {
+// TestMessagesRoundTrip fails if a field is lost in the encoding.
+func TestMessagesRoundTrip(t *testing.T) {
 	request := Request{Operation: OperationReturn, Tenant: "t", PerSecond: 1.5, Burst: 2, Config: 3}
 	encoded, err := avro.Marshal(request.Schema(), request)
 	require.NoError(t, err)
 	var readRequest Request
 	require.NoError(t, avro.Unmarshal(readRequest.Schema(), encoded, &readRequest))
 	require.Equal(t, request, readRequest)
-	answer := Answer{IsGranted: true, WaitMilliseconds: 4, Level: 0.5, Config: 6, IsStandIn: true}
+	answer := Answer{IsGranted: true, WaitMilliseconds: 4, Level: 0.5, Config: 6, IsBackup: true}
 	encoded, err = avro.Marshal(answer.Schema(), answer)
 	require.NoError(t, err)
 	var readAnswer Answer
@@ -224,12 +227,13 @@
 	require.Equal(t, answer, readAnswer)
 }
 
-// TestEveryDaemonAgreesOnTheKeepers, also where the pool is a part of the fleet.
-func TestEveryDaemonAgreesOnTheKeepers(t *testing.T) {
+// TestDaemonsAgreeOnCoordinators fails if daemons rank coordinators differently where the pool
+// is a part of the fleet.
+func TestDaemonsAgreeOnCoordinators(t *testing.T) {
 	model := newModel(200)
-	first := newRankings(modelView{model: model, name: "d00"}).of("t", time.Now())
-	second := newRankings(modelView{model: model, name: "d150"}).of("t", time.Now())
+	first := newRankings(modelView{model: model, name: "d00"}).forTenant("t", time.Now())
+	second := newRankings(modelView{model: model, name: "d150"}).forTenant("t", time.Now())
 	require.Equal(t, first.daemons, second.daemons)
-	require.Len(t, first.daemons, mostParts+standIns)
+	require.Len(t, first.daemons, maxShards+backupCount)
 	require.Equal(t, 200, first.fleet)
 }
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -6,21 +6,21 @@
 	"topazpulley/internal/avrocodec"
 )
 
-// Operation says what a request to a keeper does.
+// Operation is the operation that a request executes.
 type Operation int
 
 // The operations.
 const (
-	// OperationTake asks for room for one request.
+	// OperationTake takes a token for one request.
 	OperationTake Operation = iota
-	// OperationCharge counts a run that nobody was asked for: one more attempt
-	// at a request whose first may have run.
+	// OperationCharge takes a token unconditionally, for another attempt at an admitted request
+	// that may already have run.
 	OperationCharge
-	// OperationReturn gives back what was granted to a request that never ran.
+	// OperationReturn refunds the token of a request that never ran.
 	OperationReturn
 )
 
-// Request asks the keeper of a part of a tenant's limit.
+// Request is a request to the coordinator of a shard.
 type Request struct {
 	Operation Operation `avro:"operation"`
 	Tenant    string    `avro:"tenant"`
@@ -29,17 +29,17 @@
 	Config    int64     `avro:"config"`
 }
 
-// Answer is a keeper's.
+// Answer is a coordinator's answer.
 type Answer struct {
 	IsGranted bool `avro:"granted"`
-	// WaitMilliseconds is when a refused request finds room.
+	// WaitMilliseconds is the retry delay of a refused request.
 	WaitMilliseconds int64 `avro:"wait_milliseconds"`
-	// Level is how many requests there was room for, before this one.
+	// Level is the number of tokens before the operation.
 	Level float64 `avro:"level"`
 	// Config is the version of the configuration whose limit was applied.
 	Config int64 `avro:"config"`
-	// IsStandIn tells that the answering daemon is none of the keepers.
-	IsStandIn bool `avro:"stand_in"`
+	// IsBackup is true if the answering daemon is not a coordinator of the limit.
+	IsBackup bool `avro:"stand_in"`
 }
 
 var (
--- a/internal/ratelimit/partition_test.go
+++ b/internal/ratelimit/partition_test.go
@@ -11,29 +11,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sight is after which time daemons notice that others are gone or back.
-type sight struct {
-	// first is the shortest time; each daemon needs up to own longer, and for each of the
-	// others up to pair longer.
+// detection is the distribution of the times after which daemons detect that others are gone or
+// back.
+type detection struct {
+	// first is the shortest time. Each daemon needs up to own longer, and up to pair longer for
+	// each other daemon.
 	first, own, pair time.Duration
 }
 
-// sights are those of a membership that tells the whole side at once, and of one that
-// finds one member after the other, as it was seen with 69 daemons at a probe a second:
-// half of the pairs after 2.3 s, 19 in 20 after 4.7 s.
-var sights = map[string]sight{
+// detections are a membership that removes a whole side at once and one that removes members
+// one by one.
+var detections = map[string]detection{
 	"at once":             {first: 500 * time.Millisecond, own: 1100 * time.Millisecond, pair: 400 * time.Millisecond},
 	"one after the other": {first: 500 * time.Millisecond, own: 500 * time.Millisecond, pair: 4 * time.Second},
 }
 
-// longestRelink is how long a connection may need to work again behind a cut.
-const longestRelink = 1200 * time.Millisecond
+// maxReconnect is how long a connection needs at most to recover after a partition.
+const maxReconnect = 1200 * time.Millisecond
 
 // grant is an admitted request.
 type grant struct {
 	at     time.Time
 	source Source
-	// isCutOff tells that it came in at a daemon of the cut-off part.
+	// isCutOff is true if the request arrived in the cut-off part.
 	isCutOff bool
 }
 
@@ -53,52 +53,51 @@
 	return outcome{admitted: o.admitted + other.admitted, refused: o.refused + other.refused}
 }
 
-// refusedShare is the part of the requests that were refused.
+// refusedShare is the share of the requests that were refused.
 func (o outcome) refusedShare() float64 {
 	return float64(o.refused) / float64(max(o.admitted+o.refused, 1))
 }
 
-// pair is a daemon and one that it sees.
+// pair is a daemon and another one in its view.
 type pair struct{ self, other string }
 
 // partition cuts a part of the daemons off from the others for a time.
 type partition struct {
 	from, until time.Time
 	within      map[string]bool
-	// noticed and regained are the times until daemons miss each other, and see each
-	// other again.
-	noticed, regained map[pair]time.Duration
-	// relinked is until they can talk again.
-	relinked map[pair]time.Duration
-	// before is the cut before, of which daemons may not have found back together.
+	// detected and regained are the times until daemons detect that others are gone or back.
+	detected, regained map[pair]time.Duration
+	// reconnected is the time until their connections recover.
+	reconnected map[pair]time.Duration
+	// before is the previous partition, which may not be fully detected as ended.
 	before *partition
 }
 
 func (p *partition) isWithin(name string) bool { return p != nil && p.within[name] }
 
-// divides reports whether the partition tells what one daemon sees of another.
+// divides reports whether the partition separates two daemons.
 func (p *partition) divides(self, other string) bool {
 	return p != nil && p.within[self] != p.within[other]
 }
 
-// isCut reports whether two daemons cannot talk.
+// isCut reports whether two daemons cannot communicate.
 func (p *partition) isCut(self, other string, now time.Time) bool {
-	return p.divides(self, other) && !now.Before(p.from) && now.Before(p.until.Add(p.relinked[pair{self, other}]))
+	return p.divides(self, other) && !now.Before(p.from) && now.Before(p.until.Add(p.reconnected[pair{self, other}]))
 }
 
-// isSeen reports whether a daemon takes another for a live one.
+// isSeen reports whether a daemon takes another for live.
 func (p *partition) isSeen(self, other string, now time.Time) bool {
 	between := pair{self, other}
-	isMissed := !now.Before(p.from.Add(p.noticed[between]))
+	isMissing := !now.Before(p.from.Add(p.detected[between]))
 	isBack := !now.Before(p.until.Add(p.regained[between]))
-	return (isBack || !isMissed) && (p.before == nil || p.before.isSeen(self, other, now))
+	return (isBack || !isMissing) && (p.before == nil || p.before.isSeen(self, other, now))
 }
 
-// partitioned cuts daemons off from now on for a time.
-func (m *fleetModel) partitioned(names []string, length time.Duration, seen sight, random *rand.Rand) {
+// startPartition cuts daemons off for a time, from now on.
+func (m *fleetModel) startPartition(names []string, length time.Duration, seen detection, random *rand.Rand) {
 	cut := &partition{
 		from: time.Now(), until: time.Now().Add(length), within: map[string]bool{},
-		noticed: m.pairTimes(seen, random), regained: m.pairTimes(seen, random), relinked: m.pairTimes(sight{pair: longestRelink}, random),
+		detected: m.pairTimes(seen, random), regained: m.pairTimes(seen, random), reconnected: m.pairTimes(detection{pair: maxReconnect}, random),
 	}
 	for _, name := range names {
 		cut.within[name] = true
@@ -109,7 +108,7 @@
 	m.partition = cut
 }
 
-func (m *fleetModel) pairTimes(seen sight, random *rand.Rand) map[pair]time.Duration {
+func (m *fleetModel) pairTimes(seen detection, random *rand.Rand) map[pair]time.Duration {
 	times := map[pair]time.Duration{}
 	for _, self := range m.names {
 		own := seen.first + time.Duration(random.Float64()*float64(seen.own))
@@ -120,30 +119,31 @@
 	return times
 }
 
-// partOf draws so many daemons.
-func (m *fleetModel) partOf(count int, random *rand.Rand) []string {
+// randomPart returns that many daemons drawn at random.
+func (m *fleetModel) randomPart(count int, random *rand.Rand) []string {
 	names := append([]string(nil), m.names...)
 	random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	return names[:count]
 }
 
-// partitionCase is one order of a cut, a tenant's jump and the end of the cut.
+// partitionCase is one combination of a partition and a tenant's jump in rate.
 type partitionCase struct {
 	perSecond float64
-	// part is the cut-off part of the fleet, and jump the tenant's rate against its limit.
+	// part is the cut-off part of the fleet, jump the tenant's rate as a multiple of its limit.
 	part, jump float64
-	// jumpAfter is when the tenant jumps, after the cut or (negative) before.
+	// jumpAfter is the time of the jump after the start of the partition; negative means
+	// before.
 	jumpAfter time.Duration
-	// second is when a second cut follows the end of the first, or 0.
+	// second is the time between the end of the partition and a second one, or 0 for none.
 	second time.Duration
-	// sight names the membership's.
-	sight string
-	seed  uint64
+	// detection is a key of detections.
+	detection string
+	seed      uint64
 }
 
 func (c partitionCase) String() string {
-	return fmt.Sprintf("%g a second, %.2f cut off, %g times the limit, jump %v, second cut %v, seen %s, seed %d",
-		c.perSecond, c.part, c.jump, c.jumpAfter, c.second, c.sight, c.seed)
+	return fmt.Sprintf("%g a second, %.2f cut off, %g times the limit, jump %v, second partition %v, detected %s, seed %d",
+		c.perSecond, c.part, c.jump, c.jumpAfter, c.second, c.detection, c.seed)
 }
 
 func partitionCases() []partitionCase {
@@ -153,8 +153,8 @@
 			for order, jumpAfter := range []time.Duration{-500 * time.Millisecond, 500 * time.Millisecond, 2500 * time.Millisecond, 4200 * time.Millisecond} {
 				jump := 6 + 2*float64(order)
 				second := time.Duration(order%2) * 1500 * time.Millisecond
-				for _, sight := range []string{"at once", "one after the other"} {
-					cases = append(cases, partitionCase{perSecond, part, jump, jumpAfter, second, sight, uint64(len(cases))})
+				for _, detection := range []string{"at once", "one after the other"} {
+					cases = append(cases, partitionCase{perSecond, part, jump, jumpAfter, second, detection, uint64(len(cases))})
 				}
 			}
 		}
@@ -162,20 +162,20 @@
 	return cases
 }
 
-// play runs a case and returns the fleet after it.
+// play runs a case and returns the fleet.
 func (c partitionCase) play() *fleetModel {
 	const settled, cutTime, hotTime = 4 * time.Second, 4 * time.Second, 10 * time.Second
 	random := rand.New(rand.NewPCG(c.seed, 5))
 	model, limit := newModel(60), limitOf(c.perSecond)
-	cutOff := model.partOf(int(c.part*60), random)
+	cutOff := model.randomPart(int(c.part*60), random)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		time.Sleep(settled - min(c.jumpAfter, 0))
-		model.partitioned(cutOff, cutTime, sights[c.sight], random)
+		model.startPartition(cutOff, cutTime, detections[c.detection], random)
 		if c.second > 0 {
 			time.Sleep(cutTime + c.second)
-			model.partitioned(cutOff, cutTime/2, sights[c.sight], random)
+			model.startPartition(cutOff, cutTime/2, detections[c.detection], random)
 		}
 	}()
 	traffic := rand.New(rand.NewPCG(c.seed, 6))
@@ -185,8 +185,7 @@
 	return model
 }
 
-// bySource lists the grants of half seconds by who granted them, those of the cut-off
-// part apart.
+// bySource lists the grants per half second by source and side.
 func (m *fleetModel) bySource() string {
 	rows := strings.Builder{}
 	start := m.grants[0].at
@@ -202,16 +201,15 @@
 	return rows.String()
 }
 
-// TestNoWindowPassesTheLimitAroundACut: a part of the fleet is cut off while a tenant
-// jumps to many times its limit, before, within or behind the cut, and daemons notice
-// the cut and its end at different times.
-func TestNoWindowPassesTheLimitAroundACut(t *testing.T) {
+// TestNoWindowExceedsLimitAroundPartition fails if a tenant exceeds its limit with a jump in
+// rate before, during or after a partition that daemons detect at different times.
+func TestNoWindowExceedsLimitAroundPartition(t *testing.T) {
 	for _, each := range partitionCases() {
 		t.Run(each.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				model := each.play()
-				most := model.mostInAWindow(tolerance.Window)
+				most := model.maxInWindow(tolerance.Window)
 				if float64(most) > bound(limitOf(each.perSecond)) {
 					t.Logf("grants by half seconds:\n%s", model.bySource())
 				}
@@ -222,10 +220,9 @@
 	}
 }
 
-// TestCallersInACutOffZoneAreServed: a tenant that sends a third or three fifths of its
-// limit, through a cut and ten seconds in all. The shares refused were 0.09 and 0.13 in
-// the cut-off quarter, and 0 and 0.01 elsewhere.
-func TestCallersInACutOffZoneAreServed(t *testing.T) {
+// TestCallersInPartitionedZoneAreServed fails if a tenant within its limit is refused too often
+// during a partition and the six seconds after it.
+func TestCallersInPartitionedZoneAreServed(t *testing.T) {
 	for _, each := range []struct{ load, mostWithin, mostElsewhere float64 }{{1.0 / 3, 0.15, 0.02}, {0.6, 0.2, 0.04}} {
 		within, elsewhere := outcome{}, outcome{}
 		for seed := range uint64(16) {
@@ -240,14 +237,14 @@
 	}
 }
 
-// playOrdinary has a quarter of the fleet cut off for 4 s from the beginning of the
-// requests that it counts.
+// playOrdinary cuts a quarter of the fleet off for 4 s. Requests are counted from the start of
+// the partition.
 func playOrdinary(load float64, seed uint64) *fleetModel {
 	random := rand.New(rand.NewPCG(seed, 7))
 	model, limit := newModel(60), limitOf([]float64{3, 40}[seed%2])
 	model.traffic(random, limit, load*limit.PerSecond, 4*time.Second)
-	seen := sights[[]string{"at once", "one after the other"}[seed/2%2]]
-	model.partitioned(model.partOf(15, random), 4*time.Second, seen, random)
+	seen := detections[[]string{"at once", "one after the other"}[seed/2%2]]
+	model.startPartition(model.randomPart(15, random), 4*time.Second, seen, random)
 	model.outcomes = map[bool]outcome{}
 	model.traffic(random, limit, load*limit.PerSecond, 10*time.Second)
 	return model
--- a/internal/ratelimit/ranking.go
+++ b/internal/ratelimit/ranking.go
@@ -10,126 +10,122 @@
 )
 
 const (
-	// mostParts is into how many parts a limit is split at most: when a keeper is
-	// lost, two thirds of the limit are granted at once, which is what tenants
-	// use whose limit is half as much again as their usual rate.
-	mostParts = 3
-	// standIns is how many further daemons may stand in for keepers.
-	standIns = 3
-	// keeperPool bounds the daemons that keep limits, so that each daemon of a
-	// large fleet talks to that many others only.
-	keeperPool = 64
-	// rankingAge is how long the order of daemons for a tenant is used.
-	rankingAge = 500 * time.Millisecond
-	// toldChange is by how much the share that a daemon grants changes before it says so:
-	// a twentieth is what one zone of many makes.
-	toldChange = 0.05
-	// poolKey is the key by which the pool is drawn.
+	// maxShards is the largest number of shards of a limit. After the loss of one coordinator
+	// two thirds of the limit remain available at once.
+	maxShards = 3
+	// backupCount is the number of backup coordinators.
+	backupCount = 3
+	// poolSize bounds the daemons that coordinate limits, and so the connections of a daemon in
+	// a large fleet.
+	poolSize = 64
+	// rankingInterval is the time after which rankings are computed again.
+	rankingInterval = 500 * time.Millisecond
+	// minReportedChange is the smallest change of the granted share that is reported.
+	minReportedChange = 0.05
+	// poolKey is the hashing key that selects the pool.
 	poolKey = "rate-limit-pool"
 )
 
-// ranking is the order of daemons for one tenant: keepers first, then those that
-// stand in for them. Daemons that are missed keep their places, so that a part
-// changes hands with the fleet and not with what each daemon happens to see of it.
+// ranking is the order of daemons for one tenant: coordinators first, then their backups.
+// Missing daemons keep their rank, so that a shard doesn't move with each daemon's view.
 type ranking struct {
 	daemons []Daemon
-	// fleet is how many daemons there are, and unreached how many of them may be behind a
-	// cut.
+	// fleet is the number of daemons, unreached how many of them may not reach this one.
 	fleet, unreached int
-	// reach is how much of a part this daemon grants, by how many reach it.
+	// reach is the share of a shard that this daemon grants, by the part of the fleet that
+	// reaches it.
 	reach   float64
 	isKnown bool
 	at      time.Time
 }
 
-// rank returns a daemon's place, from 0, or -1.
+// rank returns a daemon's position from 0, or -1.
 func (r ranking) rank(name string) int {
 	return slices.IndexFunc(r.daemons, func(daemon Daemon) bool { return daemon.Name == name })
 }
 
-// rankings are the orders by tenant, worked out anew now and then. mutex guards
-// byTenant and pool.
+// rankings are the rankings by tenant, computed again after rankingInterval. mutex guards the
+// fields after it.
 type rankings struct {
 	fleet Fleet
 
-	mutex    sync.Mutex
-	byTenant map[string]ranking
-	pool     ranking
-	reached  reached
-	// changed is told when the share that this daemon grants is another than before by
-	// toldChange or more, at most once a look.
-	changed func(before, after ranking)
-	told    ranking
+	mutex        sync.Mutex
+	byTenant     map[string]ranking
+	pool         ranking
+	reachability reachability
+	// onChange is called when the granted share differs from the last reported one by
+	// minReportedChange or more, or is full again.
+	onChange func(before, after ranking)
+	reported ranking
 }
 
 func newRankings(fleet Fleet) *rankings {
-	return &rankings{fleet: fleet, byTenant: map[string]ranking{}, reached: newReached(), changed: func(ranking, ranking) {}, told: ranking{reach: wholeReach}}
+	return &rankings{fleet: fleet, byTenant: map[string]ranking{}, reachability: newReachability(), onChange: func(ranking, ranking) {}, reported: ranking{reach: fullReach}}
 }
 
-// of returns the order of daemons for a tenant.
-func (r *rankings) of(name string, now time.Time) ranking {
+// forTenant returns the ranking for a tenant.
+func (r *rankings) forTenant(name string, now time.Time) ranking {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.refresh(now)
+	r.refreshLocked(now)
 	found, isFresh := r.byTenant[name]
 	if !isFresh {
 		found = r.pool
-		found.daemons = pick(name, r.pool.daemons, mostParts+standIns)
+		found.daemons = topDaemons(name, r.pool.daemons, maxShards+backupCount)
 		r.byTenant[name] = found
 	}
 	return found
 }
 
-// refresh looks at the fleet if the last look is old. mutex must be held.
-func (r *rankings) refresh(now time.Time) {
-	if now.Sub(r.pool.at) < rankingAge && r.pool.isKnown {
+// refreshLocked computes the pool again if it is older than rankingInterval. mutex must be
+// held.
+func (r *rankings) refreshLocked(now time.Time) {
+	if now.Sub(r.pool.at) < rankingInterval && r.pool.isKnown {
 		return
 	}
-	r.pool = r.look(now)
+	r.pool = r.computePool(now)
 	clear(r.byTenant)
 }
 
-// watch looks at the fleet though nobody asks.
-func (r *rankings) watch(now time.Time) {
+// refresh is refreshLocked for callers that don't hold the mutex.
+func (r *rankings) refresh(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.refresh(now)
+	r.refreshLocked(now)
 }
 
-// wholeReach is the part of its parts of limits that a daemon grants which reaches the
-// whole fleet.
-const wholeReach = 1.0
+// fullReach is the share that a daemon grants of its shards if the whole fleet reaches it.
+const fullReach = 1.0
 
-// look works out the pool by what is seen now. mutex must be held.
-func (r *rankings) look(now time.Time) ranking {
+// computePool computes the pool from the current view. mutex must be held.
+func (r *rankings) computePool(now time.Time) ranking {
 	seen := r.fleet.View()
 	all := slices.Concat(seen.Daemons, seen.Missing)
-	r.reached.miss(seen.Missing, now)
-	unreached := r.reached.without(all, now)
-	looked := ranking{
-		daemons: pick(poolKey, all, keeperPool), fleet: len(all), unreached: unreached,
-		reach: grantedBy(1 - float64(unreached)/float64(max(len(all), 1))), isKnown: seen.IsKnown, at: now,
+	r.reachability.recordMissing(seen.Missing, now)
+	unreached := r.reachability.unreached(all, now)
+	current := ranking{
+		daemons: topDaemons(poolKey, all, poolSize), fleet: len(all), unreached: unreached,
+		reach: grantedShare(1 - float64(unreached)/float64(max(len(all), 1))), isKnown: seen.IsKnown, at: now,
 	}
-	isWholeAgain := looked.reach == wholeReach && r.told.reach != wholeReach
-	if math.Abs(looked.reach-r.told.reach) >= toldChange || isWholeAgain {
-		r.changed(r.told, looked)
-		r.told = looked
+	isFullAgain := current.reach == fullReach && r.reported.reach != fullReach
+	if math.Abs(current.reach-r.reported.reach) >= minReportedChange || isFullAgain {
+		r.onChange(r.reported, current)
+		r.reported = current
 	}
-	return looked
+	return current
 }
 
-// heard notes that a daemon asked this one.
-func (r *rankings) heard(name string, now time.Time) {
+// recordAsk records that a daemon has sent this one a request.
+func (r *rankings) recordAsk(name string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reached.heardAt[name] = now
+	r.reachability.askedAt[name] = now
 }
 
-// pick returns the daemons with the highest weights for a key, the highest
-// first.
-func pick(key string, daemons []Daemon, count int) []Daemon {
+// topDaemons returns the daemons with the highest rendezvous weights for a key, highest first.
+func topDaemons(key string, daemons []Daemon, count int) []Daemon {
 	if key == poolKey && len(daemons) <= count {
-		return daemons // their order does not matter
+		return daemons // the pool's order is irrelevant
 	}
 	names := make([]string, 0, len(daemons))
 	byName := make(map[string]Daemon, len(daemons))
@@ -137,9 +133,9 @@
 		names = append(names, daemon.Name)
 		byName[daemon.Name] = daemon
 	}
-	picked := make([]Daemon, 0, count)
+	selected := make([]Daemon, 0, count)
 	for _, name := range duty.Owners(key, names, count) {
-		picked = append(picked, byName[name])
+		selected = append(selected, byName[name])
 	}
-	return picked
+	return selected
 }
--- a/internal/ratelimit/reach.go
+++ b/internal/ratelimit/reach.go
@@ -6,56 +6,55 @@
 )
 
 const (
-	// reconnectTime is how long connections may need to work again behind a cut.
+	// reconnectTime bounds the time that connections need to recover after a network partition.
 	reconnectTime = time.Second
-	// missedMemory is for how long a daemon that was missed counts as one that does not
-	// reach this one, though it is seen again: until it has ceased to pass this one by.
-	missedMemory = keeperRest + reconnectTime
-	// heardMemory is for how long a daemon counts as one that reaches this one after it
-	// asked, whatever the membership believes: two looks at the fleet. Behind a cut that
-	// ended a membership of 69 daemons took suspicions back for 4 s; keepers that went by
-	// it alone granted 126 to 139 requests in half a second, of 190.
-	heardMemory = 2 * rankingAge
-	// leastReach is the part of its part that a keeper still grants whom less of the fleet
-	// reaches: what the own shares of the other three quarters leave, aloneRate of them.
-	leastReach = 0.475
+	// missingGrace is how long a daemon that is seen again still counts as not reaching this
+	// one: it may still treat this daemon as silent.
+	missingGrace = silentRetryTime + reconnectTime
+	// askMemory is how long a daemon counts as reaching this one after a request, whatever the
+	// membership reports.
+	askMemory = 2 * rankingInterval
+	// minReach is the smallest share of a shard that a coordinator grants while at least a
+	// quarter of the fleet reaches it. It is what the own shares of the other three quarters
+	// leave of the shard.
+	minReach = 0.475
 )
 
-// grantedBy returns how much of its part a daemon grants that so much of the fleet
-// reaches. What a keeper grants on its side of a cut and who replaces it on the other is
-// together no more than the part and a hundredth, wherever the cut runs. A side of less
-// than a quarter does not get more than twice its size.
-func grantedBy(reach float64) float64 {
-	return min(max(reach, leastReach), 2*reach)
+// grantedShare returns the share of a shard that a daemon grants if the given part of the fleet
+// reaches it. Both sides of a network partition together grant at most 1.01 of a shard. A side
+// of less than a quarter of the fleet grants at most twice its part.
+func grantedShare(reach float64) float64 {
+	return min(max(reach, minReach), 2*reach)
 }
 
-// reached tells which daemons reach this one: towards those nobody stands in for it. Its
-// times are by name.
-type reached struct {
-	// missedAt is when a daemon was missed last, heardAt when it asked this one last.
-	missedAt, heardAt map[string]time.Time
+// reachability holds which daemons reach this one. Its times are by daemon name.
+type reachability struct {
+	// missingAt is when a daemon was last missing, askedAt when it last sent this one a
+	// request.
+	missingAt, askedAt map[string]time.Time
 }
 
-func newReached() reached {
-	return reached{missedAt: map[string]time.Time{}, heardAt: map[string]time.Time{}}
+func newReachability() reachability {
+	return reachability{missingAt: map[string]time.Time{}, askedAt: map[string]time.Time{}}
 }
 
-// miss notes the daemons that are missed now, and forgets what counts no longer.
-func (r reached) miss(missing []Daemon, now time.Time) {
+// recordMissing records the daemons that are missing now and deletes expired times.
+func (r reachability) recordMissing(missing []Daemon, now time.Time) {
 	for _, daemon := range missing {
-		r.missedAt[daemon.Name] = now
+		r.missingAt[daemon.Name] = now
 	}
-	maps.DeleteFunc(r.missedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= missedMemory })
-	maps.DeleteFunc(r.heardAt, func(_ string, at time.Time) bool { return now.Sub(at) >= heardMemory })
+	maps.DeleteFunc(r.missingAt, func(_ string, at time.Time) bool { return now.Sub(at) >= missingGrace })
+	maps.DeleteFunc(r.askedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= askMemory })
 }
 
-// without counts the daemons that may not reach this one, by what miss has kept.
-func (r reached) without(daemons []Daemon, now time.Time) int {
+// unreached counts the daemons that may not reach this one. recordMissing must have been
+// called.
+func (r reachability) unreached(daemons []Daemon, now time.Time) int {
 	count := 0
 	for _, daemon := range daemons {
-		missedAt, isMissed := r.missedAt[daemon.Name]
-		_, isReaching := r.heardAt[daemon.Name]
-		if isMissed && now.Sub(missedAt) < missedMemory && !isReaching {
+		missingAt, isMissing := r.missingAt[daemon.Name]
+		_, isReaching := r.askedAt[daemon.Name]
+		if isMissing && now.Sub(missingAt) < missingGrace && !isReaching {
 			count++
 		}
 	}
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -19,11 +19,11 @@
 
 var (
 	quiet = slog.New(slog.DiscardHandler)
-	// tolerance is that of the users' sheet.
+	// tolerance is the one that the requirements allow.
 	tolerance = Tolerance{Window: 5 * time.Second, Share: 0.1, Requests: 20}
 )
 
-// errUnreachable is the failure of a question that is lost.
+// errUnreachable is the error of a lost request.
 type errUnreachable struct{}
 
 func (errUnreachable) Error() string { return "unreachable" }
@@ -33,32 +33,32 @@
 	name    string
 	limiter *Limiter
 	isDown  bool
-	// side is the part of a cut on which the daemon stands.
+	// side is the daemon's side of a partition.
 	side      int
 	startedAt time.Time
-	// wakesAt is when a paused daemon goes on.
+	// wakesAt is when a paused daemon resumes.
 	wakesAt time.Time
-	// slept is for how long its machine has slept, by which its steady clock lags.
+	// slept is how long its machine was suspended, by which its monotonic clock lags.
 	slept time.Duration
 }
 
-// fleetModel is a fleet in virtual time: who hears whom, who is down or paused,
-// and when the others notice.
+// fleetModel is a fleet in virtual time: connections, stopped and paused daemons, and the delay
+// of failure detection.
 type fleetModel struct {
 	mutex   sync.Mutex
 	daemons map[string]*daemonState
 	names   []string
-	// noticeTime is how long others go on taking a lost daemon for a live one.
-	noticeTime time.Duration
-	lostAt     map[string]time.Time
-	latency    time.Duration
+	// detectionTime is how long a lost daemon still counts as live.
+	detectionTime time.Duration
+	lostAt        map[string]time.Time
+	latency       time.Duration
 	// sent are the times at which requests were admitted.
 	sent []time.Time
-	// partition is the last cut with its times of detection and return, or nil.
+	// partition is the last partition, or nil.
 	partition *partition
-	// grants are the admitted requests with who granted them.
+	// grants are the admitted requests.
 	grants []grant
-	// outcomes count the requests that came in at daemons of a cut-off part, and at others.
+	// outcomes count the requests by whether they arrived in a cut-off part.
 	outcomes map[bool]outcome
 }
 
@@ -86,7 +86,7 @@
 	return View{Daemons: seen, Missing: missing, IsKnown: true}
 }
 
-// isSeen reports whether a daemon takes another for a live one. mutex is held.
+// isSeen reports whether a daemon takes another for live. mutex must be held.
 func (m *fleetModel) isSeen(self, other *daemonState) bool {
 	isLost := other.isDown || other.side != self.side || time.Now().Before(other.wakesAt)
 	lostAt, isNoted := m.lostAt[other.name]
@@ -96,7 +96,7 @@
 	if !isLost {
 		return true
 	}
-	return isNoted && time.Since(lostAt) < m.noticeTime
+	return isNoted && time.Since(lostAt) < m.detectionTime
 }
 
 func (v modelView) Ask(ctx context.Context, address string, request Request) (Answer, error) {
@@ -104,7 +104,7 @@
 	self, other := v.model.daemons[v.name], v.model.daemons[address]
 	isReached := !other.isDown && other.side == self.side && !v.model.partition.isCut(v.name, address, time.Now())
 	pause := v.model.latency + max(time.Until(other.wakesAt), 0)
-	keeper := other.limiter
+	coordinator := other.limiter
 	v.model.mutex.Unlock()
 	if !isReached {
 		<-ctx.Done()
@@ -113,19 +113,19 @@
 	select {
 	case <-time.After(pause):
 	case <-ctx.Done():
-		// The keeper may answer later, to nobody.
+		// The coordinator still serves the request later.
 		go func() {
 			time.Sleep(pause)
-			keeper.Serve(request)
+			coordinator.Serve(request)
 		}()
 		return Answer{}, errUnreachable{}
 	}
-	keeper.Heard(v.name)
-	return keeper.Serve(request), nil
+	coordinator.RecordAsk(v.name)
+	return coordinator.Serve(request), nil
 }
 
 func newModel(count int) *fleetModel {
-	model := &fleetModel{daemons: map[string]*daemonState{}, lostAt: map[string]time.Time{}, outcomes: map[bool]outcome{}, noticeTime: 1500 * time.Millisecond, latency: 2 * time.Millisecond}
+	model := &fleetModel{daemons: map[string]*daemonState{}, lostAt: map[string]time.Time{}, outcomes: map[bool]outcome{}, detectionTime: 1500 * time.Millisecond, latency: 2 * time.Millisecond}
 	for index := range count {
 		name := fmt.Sprintf("d%02d", index)
 		model.names = append(model.names, name)
@@ -135,10 +135,10 @@
 	return model
 }
 
-// start gives a daemon a new life without memory.
+// start starts a daemon without state.
 func (m *fleetModel) start(name string) {
 	limiter := New(modelView{model: m, name: name}, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
-	limiter.now = func() time.Time { return m.steadyClock(name) }
+	limiter.now = func() time.Time { return m.monotonicClock(name) }
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.daemons[name]
@@ -159,7 +159,7 @@
 	m.lostAt[name] = time.Now()
 }
 
-// sleep pauses a daemon with its steady clock, which other pauses leave running.
+// sleep suspends a daemon's machine: its monotonic clock stops, unlike in a pause.
 func (m *fleetModel) sleep(name string, length time.Duration) {
 	m.pause(name, length)
 	m.mutex.Lock()
@@ -167,9 +167,8 @@
 	m.daemons[name].slept += length
 }
 
-// steadyClock is a daemon's steady clock, which stands still while its machine sleeps.
-// Nothing asks a sleeping daemon.
-func (m *fleetModel) steadyClock(name string) time.Time {
+// monotonicClock is a daemon's monotonic clock, which stops while its machine is suspended.
+func (m *fleetModel) monotonicClock(name string) time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.daemons[name]
@@ -177,7 +176,7 @@
 	return time.Now().Add(min(asleep, state.slept) - state.slept)
 }
 
-// cut puts daemons on another side for a time.
+// cut moves daemons to another side of a partition.
 func (m *fleetModel) cut(names []string, side int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -187,8 +186,7 @@
 	}
 }
 
-// request sends one request of the tenant to a daemon drawn at random, if it is
-// up and not paused.
+// request sends one request of the tenant to a random daemon, if it is up and not paused.
 func (m *fleetModel) request(random *rand.Rand, limit Limit) Decision {
 	m.mutex.Lock()
 	name := m.names[random.IntN(len(m.names))]
@@ -211,8 +209,7 @@
 	return made
 }
 
-// traffic sends requests at a rate until the time is over, and returns how many
-// were refused.
+// traffic sends requests at a rate for a time and returns how many were refused.
 func (m *fleetModel) traffic(random *rand.Rand, limit Limit, perSecond float64, length time.Duration) int {
 	end := time.Now().Add(length)
 	refused := 0
@@ -234,8 +231,8 @@
 	return refused
 }
 
-// mostInAWindow is the greatest number of admitted requests in any window.
-func (m *fleetModel) mostInAWindow(window time.Duration) int {
+// maxInWindow returns the largest number of admitted requests in any window.
+func (m *fleetModel) maxInWindow(window time.Duration) int {
 	most, first := 0, 0
 	for last, at := range m.sent {
 		for at.Sub(m.sent[first]) >= window {
@@ -250,12 +247,12 @@
 	return Limit{Limit: tenant.Limit{PerSecond: perSecond, Burst: perSecond}, Config: 1}
 }
 
-// bound is what the users' sheet allows in a window.
+// bound returns the number of requests allowed in a window.
 func bound(limit Limit) float64 {
 	return (limit.PerSecond*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Share) + tolerance.Requests
 }
 
-// scenario is what happens to a fleet while a tenant sends many times its limit.
+// scenario is a sequence of faults while a tenant sends several times its limit.
 type scenario struct {
 	name string
 	run  func(model *fleetModel, random *rand.Rand)
@@ -263,7 +260,7 @@
 
 func scenarios() []scenario {
 	return []scenario{
-		{"calm", func(*fleetModel, *rand.Rand) {}},
+		{"no faults", func(*fleetModel, *rand.Rand) {}},
 		{"all lose power", func(model *fleetModel, _ *rand.Rand) {
 			time.Sleep(4 * time.Second)
 			for _, name := range model.names {
@@ -286,24 +283,24 @@
 				}
 			}
 		}},
-		{"keepers are paused and wake", func(model *fleetModel, _ *rand.Rand) {
+		{"coordinators are paused and resume", func(model *fleetModel, _ *rand.Rand) {
 			time.Sleep(3 * time.Second)
-			for _, keeper := range pick("t", allOf(model), mostParts) {
-				model.pause(keeper.Name, 3*time.Second)
+			for _, coordinator := range topDaemons("t", allOf(model), maxShards) {
+				model.pause(coordinator.Name, 3*time.Second)
 				time.Sleep(500 * time.Millisecond)
 			}
 		}},
-		{"keepers die one after the other", func(model *fleetModel, _ *rand.Rand) {
+		{"coordinators stop one after the other", func(model *fleetModel, _ *rand.Rand) {
 			for range 3 {
 				time.Sleep(time.Second)
-				for _, keeper := range pick("t", allOf(model), mostParts) {
-					model.stop(keeper.Name)
+				for _, coordinator := range topDaemons("t", allOf(model), maxShards) {
+					model.stop(coordinator.Name)
 					time.Sleep(300 * time.Millisecond)
-					model.start(keeper.Name)
+					model.start(coordinator.Name)
 				}
 			}
 		}},
-		{"a sixth is cut off together", func(model *fleetModel, random *rand.Rand) {
+		{"a sixth is partitioned together", func(model *fleetModel, random *rand.Rand) {
 			time.Sleep(3 * time.Second)
 			names := append([]string(nil), model.names...)
 			random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
@@ -312,7 +309,7 @@
 			time.Sleep(5 * time.Second)
 			model.cut(gone, 0)
 		}},
-		{"a sixth is cut off, each alone", func(model *fleetModel, random *rand.Rand) {
+		{"a sixth is partitioned, each daemon alone", func(model *fleetModel, random *rand.Rand) {
 			time.Sleep(3 * time.Second)
 			names := append([]string(nil), model.names...)
 			random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
@@ -333,10 +330,9 @@
 	return all
 }
 
-// TestNoWindowPassesTheLimit: whatever happens to the fleet while a tenant sends
-// many times its limit, no window of the users' sheet holds more requests than
-// it allows.
-func TestNoWindowPassesTheLimit(t *testing.T) {
+// TestNoWindowExceedsLimit fails if a tenant that sends several times its limit exceeds it in
+// some window during faults of the fleet.
+func TestNoWindowExceedsLimit(t *testing.T) {
 	const length = 14 * time.Second
 	for _, perSecond := range []float64{3, 12, 60} {
 		for _, each := range scenarios() {
@@ -353,7 +349,7 @@
 						}()
 						model.traffic(random, limit, 5*perSecond, length)
 						<-done
-						require.LessOrEqual(t, float64(model.mostInAWindow(tolerance.Window)), bound(limit))
+						require.LessOrEqual(t, float64(model.maxInWindow(tolerance.Window)), bound(limit))
 						require.Greater(t, len(model.sent), int(perSecond*length.Seconds()/3), "hardly anything was admitted")
 					})
 				})
@@ -362,9 +358,8 @@
 	}
 }
 
-// TestUsualTrafficIsNotRefused: a tenant that sends half of its limit in the mean,
-// twice as much for 2.4 s in every 6, is refused nothing. (On the users' sheet a
-// tenant sends three tenths in the mean and half in bursts.)
+// TestUsualTrafficIsNotRefused fails if a tenant with half its limit on average, and twice as
+// much for 2.4 s in every 6 s, is refused.
 func TestUsualTrafficIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
@@ -381,23 +376,23 @@
 	})
 }
 
-// TestLostKeeperCostsLittle: while a keeper is lost and nobody has noticed yet,
-// usual traffic is refused nothing.
-func TestLostKeeperCostsLittle(t *testing.T) {
+// TestLostCoordinatorRefusesFewRequests fails if usual traffic is refused while a lost
+// coordinator isn't detected yet.
+func TestLostCoordinatorRefusesFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
 		model := newModel(60)
 		limit := limitOf(12)
 		model.traffic(random, limit, 4, 6*time.Second)
-		model.stop(pick("t", allOf(model), mostParts)[1].Name)
+		model.stop(topDaemons("t", allOf(model), maxShards)[1].Name)
 		refused := model.traffic(random, limit, limit.PerSecond/1.6, 6*time.Second)
 		require.LessOrEqual(t, refused, 3, "of %d", len(model.sent))
 	})
 }
 
-// TestFallingLimit: what a tenant may send falls far below what it sends, and
-// every daemon applies the newest limit that any has heard of.
-func TestFallingLimit(t *testing.T) {
+// TestLoweredLimit fails if a tenant exceeds its lowered limit because some daemons still use
+// the older one.
+func TestLoweredLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
 		model := newModel(20)
@@ -408,9 +403,9 @@
 			model.request(random, lower)
 		}
 		model.sent = nil
-		// Daemons that still know the older limit ask keepers that know better.
+		// Daemons with the older limit ask coordinators that have the newer one.
 		model.traffic(random, limitOf(40), 30, 10*time.Second)
-		require.LessOrEqual(t, float64(model.mostInAWindow(tolerance.Window)), bound(lower))
+		require.LessOrEqual(t, float64(model.maxInWindow(tolerance.Window)), bound(lower))
 		model.sent = nil
 		raised := limitOf(40)
 		raised.Config = 3
--- a/internal/ratelimit/sleep_test.go
+++ b/internal/ratelimit/sleep_test.go
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sleepScenarios put machines of a fleet to sleep for a span. Keepers hold all that the
-// limit lets them save when that begins.
+// sleepScenarios suspend machines of the fleet for a span. Coordinators have full buckets at
+// the start.
 func sleepScenarios() map[string]func(model *fleetModel, span time.Duration) {
 	return map[string]func(model *fleetModel, span time.Duration){
-		"all keepers": func(model *fleetModel, span time.Duration) {
-			for _, keeper := range pick("t", allOf(model), mostParts) {
-				model.sleep(keeper.Name, span)
+		"all coordinators": func(model *fleetModel, span time.Duration) {
+			for _, coordinator := range topDaemons("t", allOf(model), maxShards) {
+				model.sleep(coordinator.Name, span)
 			}
 		},
-		"keepers, one after the other": func(model *fleetModel, span time.Duration) {
-			for _, keeper := range pick("t", allOf(model), mostParts) {
-				model.sleep(keeper.Name, span)
+		"coordinators, one after the other": func(model *fleetModel, span time.Duration) {
+			for _, coordinator := range topDaemons("t", allOf(model), maxShards) {
+				model.sleep(coordinator.Name, span)
 				time.Sleep(500 * time.Millisecond)
 			}
 		},
@@ -40,40 +40,39 @@
 	}
 }
 
-// silentScenarios are those in which no keeper is heard for a while, and nobody who could
-// stand in for one.
-func silentScenarios() map[string]func(model *fleetModel, span time.Duration) {
+// isolatedScenarios leave the fleet without coordinators and backups for some time.
+func isolatedScenarios() map[string]func(model *fleetModel, span time.Duration) {
 	return map[string]func(model *fleetModel, span time.Duration){
-		"keepers and who stands in": func(model *fleetModel, span time.Duration) {
-			for _, keeper := range pick("t", allOf(model), 2*mostParts) {
-				model.sleep(keeper.Name, span)
+		"coordinators and backups": func(model *fleetModel, span time.Duration) {
+			for _, coordinator := range topDaemons("t", allOf(model), 2*maxShards) {
+				model.sleep(coordinator.Name, span)
 			}
 		},
-		"who stands in, after the keepers": func(model *fleetModel, span time.Duration) {
-			order := pick("t", allOf(model), 2*mostParts)
-			for _, keeper := range order[:mostParts] {
-				model.sleep(keeper.Name, span)
+		"backups after coordinators": func(model *fleetModel, span time.Duration) {
+			order := topDaemons("t", allOf(model), 2*maxShards)
+			for _, coordinator := range order[:maxShards] {
+				model.sleep(coordinator.Name, span)
 			}
 			time.Sleep(2 * time.Second)
-			for _, keeper := range order[mostParts:] {
-				model.sleep(keeper.Name, span)
+			for _, coordinator := range order[maxShards:] {
+				model.sleep(coordinator.Name, span)
 			}
 		},
 	}
 }
 
-// TestNoWindowPassesTheLimitAroundASleep: machines sleep while a tenant that was quiet
-// sends five times its limit. Their steady clocks stand still: keepers wake with all that
-// they had saved before, beside what others granted in their place.
-func TestNoWindowPassesTheLimitAroundASleep(t *testing.T) {
+// TestNoWindowExceedsLimitAroundSleep fails if a window exceeds the limit because suspended
+// coordinators resume with full buckets, in addition to what others granted meanwhile.
+func TestNoWindowExceedsLimitAroundSleep(t *testing.T) {
 	for name, run := range sleepScenarios() {
 		requireLimitAroundSleeps(t, name, run)
 	}
 }
 
-// TestNoWindowPassesTheLimitWhileNobodyIsHeard: all daemons decide alone.
-func TestNoWindowPassesTheLimitWhileNobodyIsHeard(t *testing.T) {
-	for name, run := range silentScenarios() {
+// TestNoWindowExceedsLimitWithoutCoordinators fails if the daemons' own shares together exceed
+// the limit.
+func TestNoWindowExceedsLimitWithoutCoordinators(t *testing.T) {
+	for name, run := range isolatedScenarios() {
 		requireLimitAroundSleeps(t, name, run)
 	}
 }
@@ -105,6 +104,6 @@
 	}()
 	model.traffic(random, limit, 5*perSecond, hotTime+span+restTime)
 	<-done
-	require.LessOrEqual(t, float64(model.mostInAWindow(tolerance.Window)), bound(limit))
+	require.LessOrEqual(t, float64(model.maxInWindow(tolerance.Window)), bound(limit))
 	require.Greater(t, len(model.sent), int(perSecond*restTime.Seconds()/3), "hardly anything was admitted")
 }
--- a/internal/ratelimit/watch_test.go
+++ b/internal/ratelimit/watch_test.go
@@ -14,27 +14,27 @@
 	"topazpulley/internal/telemetry"
 )
 
-// sightedFleet is a fleet as a daemon sees it by its own sightings; mutex guards live.
-type sightedFleet struct {
-	mutex     sync.Mutex
-	live      []Daemon
-	sightings sightings
+// observedFleet is a fleet seen by one daemon; mutex guards live.
+type observedFleet struct {
+	mutex  sync.Mutex
+	live   []Daemon
+	recent recentDaemons
 }
 
-func (*sightedFleet) Self() string { return "d00" }
+func (*observedFleet) Self() string { return "d00" }
 
-func (f *sightedFleet) View() View {
+func (f *observedFleet) View() View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	missing := f.sightings.missed(f.live, func(string) bool { return false }, time.Now())
+	missing := f.recent.missing(f.live, func(string) bool { return false }, time.Now())
 	return View{Daemons: f.live, Missing: missing, IsKnown: true}
 }
 
-func (*sightedFleet) Ask(context.Context, string, Request) (Answer, error) {
+func (*observedFleet) Ask(context.Context, string, Request) (Answer, error) {
 	return Answer{}, errUnreachable{}
 }
 
-func (f *sightedFleet) see(count int) {
+func (f *observedFleet) see(count int) {
 	live := []Daemon{}
 	for index := range count {
 		name := fmt.Sprintf("d%02d", index)
@@ -45,12 +45,11 @@
 	f.live = live
 }
 
-// TestCutIsNoticedThoughNobodyAsked: a daemon to which no request of a tenant with a
-// limit came before a part of the fleet was cut off misses that part all the same, and
-// grants its parts of limits whole again once it sees it.
-func TestCutIsNoticedThoughNobodyAsked(t *testing.T) {
+// TestPartitionIsDetectedWithoutRequests fails if a daemon that had no requests before a
+// partition doesn't detect it, or doesn't grant full shards after it.
+func TestPartitionIsDetectedWithoutRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &sightedFleet{sightings: sightings{}}
+		fleet := &observedFleet{recent: recentDaemons{}}
 		fleet.see(60)
 		limiter := New(fleet, tolerance, telemetry.NewTenants(prometheus.NewRegistry()), quiet)
 		watching, stop := context.WithCancel(t.Context())
@@ -58,11 +57,11 @@
 		time.Sleep(2 * time.Second)
 		fleet.see(15)
 		time.Sleep(5 * time.Second)
-		cut := limiter.rankings.of("t", time.Now())
+		cut := limiter.rankings.forTenant("t", time.Now())
 		require.Equal(t, 45, cut.unreached)
-		require.Equal(t, grantedBy(0.25), cut.reach)
+		require.Equal(t, grantedShare(0.25), cut.reach)
 		fleet.see(60)
-		require.Eventually(t, func() bool { return limiter.rankings.of("t", time.Now()).reach == wholeReach }, time.Minute, rankingAge)
+		require.Eventually(t, func() bool { return limiter.rankings.forTenant("t", time.Now()).reach == fullReach }, time.Minute, rankingInterval)
 		stop()
 		synctest.Wait()
 	})
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -222,13 +222,13 @@
 mutant keys_trusted_for_ever internal/access/access.go \
 	'age < g.RevocationBound-revocationReserve' 'true' internal/access TestUnconfirmedKeysAreNotTrustedForLong
 mutant full_start internal/ratelimit/share.go \
-	'start: startShare * excess' 'start: limit.Burst + excess' internal/ratelimit TestNoWindowPassesTheLimit
+	'start: startShare * excess' 'start: limit.Burst + excess' internal/ratelimit TestNoWindowExceedsLimit
 mutant full_stand_in internal/ratelimit/share.go \
-	'standInShare = 0.2' 'standInShare = 1.0' internal/ratelimit TestNoWindowPassesTheLimit
+	'backupShare = 0.2' 'backupShare = 1.0' internal/ratelimit TestNoWindowExceedsLimit
 mutant both_sides_of_a_cut_grant_all internal/ratelimit/share.go \
-	'scaled(reach / float64(parts))' 'scaled(1 / float64(parts))' internal/ratelimit TestNoWindowPassesTheLimit
-mutant old_limit_wins internal/ratelimit/keeper.go \
-	'limit.Config >= held.limit.Config' 'true' internal/ratelimit TestOldLimitsReplaceNoNewerOnes
+	'scaled(reach / float64(shards))' 'scaled(1 / float64(shards))' internal/ratelimit TestNoWindowExceedsLimit
+mutant old_limit_wins internal/ratelimit/buckets.go \
+	'limit.Config >= entry.limit.Config' 'true' internal/ratelimit TestOlderConfigDoesNotReplaceNewerLimit
 mutant nothing_given_back internal/serving/admit.go \
 	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
 mutant silent_link_kept internal/peer/link.go \
@@ -319,7 +319,7 @@
 mutant asleep_is_settled internal/table/settling.go \
 	'boottime.Instant(f.confirmed.Load()) >= last.wholeAt' 'f.Now() >= last.wholeAt' internal/table TestRowsThatAreNotBackYetAreNotGone
 mutant alone_as_if_few_were internal/ratelimit/share.go \
-	'aloneShare = 1.0' 'aloneShare = 0.25' internal/ratelimit TestSharesStayWithinTheTolerance
+	'isolatedShare = 1.0' 'isolatedShare = 0.25' internal/ratelimit TestSharesStayWithinTolerance
 mutant rested_over_a_sleep platform/pool.go \
 	'p.clock.Now() < last.usedUntil' 'last.usedUntil > 0' platform TestConnectionsThatRestedOverASleepAreNotUsed
 mutant line_breaks_written internal/httphead/write.go \
