--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,5 @@
-// Package tenant says who calls: the tenants of one configuration, their API
-// keys and their limits. Keys are held, compared and looked up by digest only,
-// so that no log line, metric or error can carry one.
+// Package tenant holds the tenants of a configuration with their API keys and limits. Keys are
+// stored and looked up by digest only, so that no log line, metric or error can contain one.
 package tenant
 
 import (
@@ -16,7 +15,7 @@
 // DigestOf returns the digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ParseDigest reads a digest in hexadecimal.
+// ParseDigest parses a digest in hexadecimal.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	decoded, err := hex.DecodeString(text)
@@ -27,38 +26,37 @@
 	return digest, nil
 }
 
-// Limit bounds the requests of one tenant, summed over all daemons. Zero
-// PerSecond means no bound.
+// Limit bounds the request rate of one tenant over all daemons. A zero PerSecond means no
+// bound.
 type Limit struct {
 	// PerSecond is the sustained rate in requests a second.
 	PerSecond float64
-	// Burst is how many requests more may come at once.
+	// Burst is the number of additional requests that may arrive at once.
 	Burst float64
 }
 
-// IsBounded reports whether there is a bound at all.
+// IsBounded reports whether the rate is bounded.
 func (l Limit) IsBounded() bool { return l.PerSecond > 0 }
 
-// Tenant is one customer of the fleet.
+// Tenant is a customer with its own keys and limit.
 type Tenant struct {
 	Name string
 	Keys []Digest
-	// Priority, if HasPriority is set, goes before that of a route; 0 is the
-	// highest.
+	// Priority overrides the route's priority if HasPriority is set; 0 is the highest.
 	Priority    int
 	HasPriority bool
 	Limit       Limit
 }
 
-// Directory finds tenants by key. It never changes. The zero value and nil know
-// no tenant.
+// Directory finds tenants by key or name. It is immutable. The zero value and nil contain no
+// tenants.
 type Directory struct {
 	byKey  map[Digest]*Tenant
 	byName map[string]*Tenant
 }
 
-// NewDirectory compiles tenants. Where two tenants hold one key, the first has
-// it.
+// NewDirectory returns a directory of the tenants. If two tenants have the same key, it belongs
+// to the first.
 func NewDirectory(tenants []Tenant) *Directory {
 	directory := &Directory{byKey: map[Digest]*Tenant{}, byName: map[string]*Tenant{}}
 	for index := range tenants {
@@ -73,7 +71,7 @@
 	return directory
 }
 
-// Count returns how many tenants there are.
+// Count returns the number of tenants.
 func (d *Directory) Count() int {
 	if d == nil {
 		return 0
@@ -81,8 +79,8 @@
 	return len(d.byName)
 }
 
-// Identify returns the tenant that holds an API key. The lookup is by digest,
-// so that its time tells nothing of the keys that are known.
+// Identify returns the tenant with an API key. The lookup is by digest, so that its duration
+// reveals nothing about known keys.
 func (d *Directory) Identify(key string) (*Tenant, bool) {
 	if d == nil || key == "" {
 		return nil, false
@@ -100,7 +98,7 @@
 	return found, isKnown
 }
 
-// Names returns the names of all tenants, in no order.
+// Names returns the names of all tenants in no particular order.
 func (d *Directory) Names() []string {
 	if d == nil {
 		return nil
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -19,8 +19,8 @@
 	})
 }
 
-// TestKeysFindTheirTenant: each of several keys, and no other text.
-func TestKeysFindTheirTenant(t *testing.T) {
+// TestKeysIdentifyTheirTenant fails if one of several keys isn't found, or another text is.
+func TestKeysIdentifyTheirTenant(t *testing.T) {
 	cases := map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "", "": "", "A1": "", "a1 ": ""}
 	for key, name := range cases {
 		found, isKnown := directory().Identify(key)
@@ -33,8 +33,8 @@
 	require.ElementsMatch(t, []string{"a", "b", "without keys"}, directory().Names())
 }
 
-// TestNoDirectoryKnowsNobody.
-func TestNoDirectoryKnowsNobody(t *testing.T) {
+// TestNilDirectoryIsEmpty fails if a nil directory panics or returns a tenant.
+func TestNilDirectoryIsEmpty(t *testing.T) {
 	var none *tenant.Directory
 	_, isKnown := none.Identify("a1")
 	require.False(t, isKnown)
@@ -44,8 +44,8 @@
 	require.Empty(t, none.Names())
 }
 
-// TestDigestsAreReadFromHexadecimal, and nothing else is.
-func TestDigestsAreReadFromHexadecimal(t *testing.T) {
+// TestParseDigest fails if a valid digest is rejected, or other text is accepted.
+func TestParseDigest(t *testing.T) {
 	sum := sha256.Sum256([]byte("key"))
 	digest, err := tenant.ParseDigest(hex.EncodeToString(sum[:]))
 	require.NoError(t, err)
