--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,5 +1,5 @@
-// Package access decides who calls: which tenant holds the key that came with a
-// call, and whether the daemon may still trust the keys that it knows.
+// Package access identifies the tenant of a call by its API key, and refuses calls while the
+// daemon's keys may be out of date.
 package access
 
 import (
@@ -11,34 +11,32 @@
 )
 
 const (
-	// revocationReserve is kept of the bound on taken-away keys: a call that is
-	// let in still has to reach a backend.
+	// revocationReserve is the part of RevocationBound left for an admitted call to reach a
+	// backend.
 	revocationReserve = 500 * time.Millisecond
-	// retryAfterUnconfirmed is the advice to callers of a daemon whose keys may
-	// be out of date; another daemon may serve them at once.
+	// retryAfterUnconfirmed is the retry delay while this daemon's keys may be out of date;
+	// another daemon may accept the call at once.
 	retryAfterUnconfirmed = 300 * time.Millisecond
 )
 
 // Gate identifies callers.
 type Gate struct {
-	// RevocationBound is the time after which no daemon may let in a key that
-	// was taken away, whether or not it has heard of that; 0 means that a daemon
-	// goes on with the keys that it knows.
+	// RevocationBound is the time after which no daemon accepts a revoked key, even if it has
+	// not received the revocation. 0 means that a daemon accepts the keys that it has.
 	RevocationBound time.Duration
-	// ConfirmedAt returns when the configuration was last known to be the
-	// present one.
+	// ConfirmedAt returns when the configuration was last known to be current.
 	ConfirmedAt func() time.Time
 }
 
-// Caller returns the tenant that calls a route, or nil where none is needed and
-// none is known. It fails with KindUnauthorized on a key that is not known, and
-// with KindUnavailable while keys may have been taken away unnoticed.
+// Caller returns the tenant that calls a route, or nil if the key is optional and not known. It
+// fails with KindUnauthorized on an unknown key, and with KindUnavailable while keys may have
+// been revoked without this daemon's knowledge.
 func (g *Gate) Caller(table *route.Table, matched *route.Route, key string, now time.Time) (*tenant.Tenant, error) {
 	return g.identify(table, matched.KeyOptional, key, now)
 }
 
-// JobCaller returns the tenant that reads or ends a job under a host name. No
-// key is needed if a job route of the host needs none.
+// JobCaller returns the tenant that reads or cancels a job under a host name. The key is
+// optional if one of the host's job routes has an optional key.
 func (g *Gate) JobCaller(table *route.Table, host, key string, now time.Time) (*tenant.Tenant, error) {
 	isOptional := false
 	for _, each := range table.JobRoutes() {
@@ -58,12 +56,13 @@
 	}
 	caller, isKnown := tenants.Identify(key)
 	if !isKnown && !isOptional {
-		return nil, failure.New(failure.KindUnauthorized, "unknown_key", "send an API key of the present configuration").WithNotRun()
+		return nil, failure.New(failure.KindUnauthorized, "unknown_key", "missing or unknown API key").WithNotRun()
 	}
 	return caller, nil
 }
 
-// trust reports whether keys that were taken away would be known here.
+// trust returns the time since the last confirmation, and whether it is short enough for the
+// keys to be accepted.
 func (g *Gate) trust(now time.Time) (age time.Duration, isTrusted bool) {
 	if g.RevocationBound <= 0 {
 		return 0, true
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -29,9 +29,9 @@
 	return tenant.Tenant{Name: "holder of " + key, Keys: []tenant.Digest{tenant.DigestOf(key)}}
 }
 
-// TestCallersNeedAKeyWhereThereAreTenants, except on routes that need none; the
-// tenant is known wherever a key is.
-func TestCallersNeedAKeyWhereThereAreTenants(t *testing.T) {
+// TestCallersNeedKeyIfTenantsExist fails if a call without a valid key is accepted on a route
+// that needs one, or a caller isn't identified.
+func TestCallersNeedKeyIfTenantsExist(t *testing.T) {
 	gate := &access.Gate{}
 	table := compiled(holderOf("k"))
 	cases := []struct {
@@ -50,7 +50,7 @@
 		caller, err := gate.Caller(table, matched, each.key, now)
 		if each.isRefused {
 			require.True(t, failure.Is(err, failure.KindUnauthorized), each)
-			require.NotContains(t, err.Error(), "other", "the key stands in the error")
+			require.NotContains(t, err.Error(), "other", "the error contains the key")
 			continue
 		}
 		require.NoError(t, err)
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestWithoutTenantsEverybodyMayCall.
-func TestWithoutTenantsEverybodyMayCall(t *testing.T) {
+// TestCallsWithoutTenantsAreAccepted fails if a key is required though no tenants are
+// configured.
+func TestCallsWithoutTenantsAreAccepted(t *testing.T) {
 	gate := &access.Gate{}
 	matched, _ := compiled().Match(host, "/closed/")
 	caller, err := gate.Caller(compiled(), matched, "any", now)
@@ -71,8 +72,7 @@
 	require.Nil(t, caller)
 }
 
-// TestJobCallers: a call about a job names no route, so that the job routes of
-// its host decide.
+// TestJobCallers fails if a call about a job isn't checked by the job routes of its host.
 func TestJobCallers(t *testing.T) {
 	gate := &access.Gate{}
 	table := compiled(holderOf("k"))
@@ -86,9 +86,9 @@
 	require.Nil(t, caller)
 }
 
-// TestUnconfirmedKeysAreNotTrustedForLong: with a bound on taken-away keys a
-// daemon that could not have heard of one refuses, and promises that nothing ran.
-func TestUnconfirmedKeysAreNotTrustedForLong(t *testing.T) {
+// TestUnconfirmedKeysAreRefused fails if a daemon that may have missed a revocation accepts a
+// call, or doesn't report that nothing ran.
+func TestUnconfirmedKeysAreRefused(t *testing.T) {
 	table := compiled(holderOf("k"))
 	matched, _ := table.Match(host, "/closed/")
 	confirmed := now
--- a/internal/access/sleep_test.go
+++ b/internal/access/sleep_test.go
@@ -16,21 +16,21 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// ignored is a consumer of a table that nobody looks at.
-type ignored struct{}
+// noConsumer ignores the rows of a table.
+type noConsumer struct{}
 
-func (ignored) Replace([]table.Row, table.Version) {}
-func (ignored) Change([]table.Row, table.Version)  {}
+func (noConsumer) Replace([]table.Row, table.Version) {}
+func (noConsumer) Change([]table.Row, table.Version)  {}
 
-// TestKeysAreNotTrustedAfterASleep: a key may have been taken away while the machine
-// slept, and the steady clock stood still meanwhile. The daemon refuses until it has
-// heard anew.
-func TestKeysAreNotTrustedAfterASleep(t *testing.T) {
-	const bound, patience = 5 * time.Second, 10 * time.Second
+// TestKeysAreRefusedAfterSuspend fails if keys that may have been revoked while the machine was
+// suspended are accepted before the next confirmation. The monotonic clock doesn't advance
+// meanwhile.
+func TestKeysAreRefusedAfterSuspend(t *testing.T) {
+	const bound, timeout = 5 * time.Second, 10 * time.Second
 	store := tabletest.NewMemory()
 	var slept atomic.Int64
 	follower := &table.Follower{
-		Store: store, Table: "op", Consumer: ignored{}, Logger: slog.New(slog.DiscardHandler), Wait: 50 * time.Millisecond,
+		Store: store, Table: "op", Consumer: noConsumer{}, Logger: slog.New(slog.DiscardHandler), Wait: 50 * time.Millisecond,
 		Clock: func() boottime.Instant { return boottime.Now().Add(time.Duration(slept.Load())) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -43,13 +43,13 @@
 		_, err := gate.Caller(configuration, matched, "k", time.Now())
 		return err
 	}
-	require.Eventually(t, func() bool { return call() == nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return call() == nil }, timeout, time.Millisecond)
 	store.SetDecide(func(string) tabletest.Fault { return tabletest.FaultRefuse })
-	// A watch that was under way ends within its wait.
+	// A pending watch ends within its wait time.
 	time.Sleep(200 * time.Millisecond)
-	require.NoError(t, call(), "the keys were confirmed a moment ago")
+	require.NoError(t, call(), "recently confirmed keys are refused")
 	slept.Store(int64(bound))
-	require.True(t, failure.Is(call(), failure.KindUnavailable), "keys are trusted that may be gone")
+	require.True(t, failure.Is(call(), failure.KindUnavailable), "keys that may be revoked are accepted")
 	store.SetDecide(nil)
-	require.Eventually(t, func() bool { return call() == nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return call() == nil }, timeout, time.Millisecond)
 }
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -220,7 +220,7 @@
 mutant jobs_of_all_tenants internal/job/tenant.go \
 	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTheirTenant
 mutant keys_trusted_for_ever internal/access/access.go \
-	'age < g.RevocationBound-revocationReserve' 'true' internal/access TestUnconfirmedKeysAreNotTrustedForLong
+	'age < g.RevocationBound-revocationReserve' 'true' internal/access TestUnconfirmedKeysAreRefused
 mutant full_start internal/ratelimit/share.go \
 	'start: startShare * excess' 'start: limit.Burst + excess' internal/ratelimit TestNoWindowExceedsLimit
 mutant full_stand_in internal/ratelimit/share.go \
