--- a/internal/submissionbuffer/submissionbuffer.go
+++ b/internal/submissionbuffer/submissionbuffer.go
@@ -1,8 +1,6 @@
-// Package submissionbuffer decides which submissions a daemon holds while the durable store is
-// away, and when those that it cannot hold should come back. The load it answers: jobs
-// that arrive in an outage of seconds, from callers who wait for about as long. Nobody can
-// keep a job that nothing durable holds, but who comes in the last part of an outage can
-// be accepted behind it, without a call to the store meanwhile.
+// Package submissionbuffer limits the job submissions that a daemon buffers during an outage of
+// the durable store, and computes the retry delay of those that it refuses. Buffered
+// submissions are stored when the outage ends; they are accepted only then.
 package submissionbuffer
 
 import (
@@ -11,33 +9,32 @@
 )
 
 const (
-	// maxSubmissions bounds the submissions of one daemon: each has a connection and two
-	// goroutines, and all of them go to the store within a moment of its return.
+	// maxSubmissions bounds the buffered submissions of one daemon. Each uses a connection and
+	// two goroutines, and all are sent to the store when it returns.
 	maxSubmissions = 64
-	// copies is how often the content of a held submission lies in memory: as it came, in
-	// the encoding of the wire (four thirds), and as it was read.
+	// copies is the memory used by a buffered submission relative to its content: the content
+	// as received, its wire encoding (four thirds) and its decoded form.
 	copies = 3
-	// unboundedMegabytes stands for the memory of a daemon without a bound.
+	// unboundedMegabytes is the memory assumed for a daemon without a limit.
 	unboundedMegabytes = 512
 
-	// minRetryAfter and maxRetryAfter bound the advice to a caller that is not held.
-	// Callers wait for some seconds in all.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a caller that is not buffered.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
-	// bufferedRetryAfter is the advice to a caller whose time was over while it was held: it is
-	// held again wherever it comes, and the sooner the less of the outage's end it misses.
+	// bufferedRetryAfter is the retry delay of a caller whose submission was buffered until its
+	// timeout. It is short, because the caller is buffered again at any daemon.
 	bufferedRetryAfter = 100 * time.Millisecond
 )
 
-// Limits bound what one daemon holds at a time. The zero value holds nothing.
+// Limits bound the submissions that one daemon buffers at a time. The zero value allows none.
 type Limits struct {
 	Count int
 	// Bytes bounds the memory of the contents.
 	Bytes int64
 }
 
-// LimitsOf returns the limits of a daemon by its memory in megabytes, 0 for no bound, and
-// the share of it that may be held.
+// LimitsOf returns the limits of a daemon with memoryMegabytes of memory, 0 for no limit, of
+// which share may be used for buffered submissions.
 func LimitsOf(memoryMegabytes int, share float64) Limits {
 	if share <= 0 {
 		return Limits{}
@@ -48,7 +45,7 @@
 	return Limits{Count: maxSubmissions, Bytes: int64(share * float64(memoryMegabytes<<20))}
 }
 
-// Buffer is what a daemon holds. It is safe for concurrent use; mutex guards count and
+// Buffer counts the buffered submissions. It is safe for concurrent use; mutex guards count and
 // bytes.
 type Buffer struct {
 	limits Limits
@@ -58,42 +55,42 @@
 	bytes int64
 }
 
-// New returns an empty room.
+// New returns an empty buffer.
 func New(limits Limits) *Buffer { return &Buffer{limits: limits} }
 
-// Add holds a submission with a content of so many bytes, if there is room for it. leave
-// is called when it is held no more.
-func (r *Buffer) Add(contentBytes int) (leave func(), isHeld bool) {
-	taken := int64(contentBytes) * copies
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.count >= r.limits.Count || r.bytes+taken > r.limits.Bytes {
+// Add adds a submission with contentBytes of content if the limits allow it. The caller calls
+// release when the submission leaves the buffer.
+func (b *Buffer) Add(contentBytes int) (release func(), isBuffered bool) {
+	reserved := int64(contentBytes) * copies
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.count >= b.limits.Count || b.bytes+reserved > b.limits.Bytes {
 		return nil, false
 	}
-	r.count++
-	r.bytes += taken
-	return func() { r.remove(taken) }, true
+	b.count++
+	b.bytes += reserved
+	return func() { b.remove(reserved) }, true
 }
 
-func (r *Buffer) remove(taken int64) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.count--
-	r.bytes -= taken
+func (b *Buffer) remove(reserved int64) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.count--
+	b.bytes -= reserved
 }
 
-// Count returns how many submissions are held.
-func (r *Buffer) Count() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.count
+// Count returns the number of buffered submissions.
+func (b *Buffer) Count() int {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.count
 }
 
-// RetryAfter returns when a refused caller should come again. Of an outage nothing is known
-// but how long it has lasted; it is expected to last as long again.
-func RetryAfter(awayFor time.Duration, wasHeld bool) time.Duration {
-	if wasHeld {
+// RetryAfter returns the retry delay of a refused caller: the outage is expected to last as
+// long again as it has lasted so far.
+func RetryAfter(outage time.Duration, wasBuffered bool) time.Duration {
+	if wasBuffered {
 		return bufferedRetryAfter
 	}
-	return min(max(awayFor, minRetryAfter), maxRetryAfter)
+	return min(max(outage, minRetryAfter), maxRetryAfter)
 }
--- a/internal/submissionbuffer/submissionbuffer_test.go
+++ b/internal/submissionbuffer/submissionbuffer_test.go
@@ -9,51 +9,52 @@
 	"topazpulley/internal/submissionbuffer"
 )
 
-// TestSmallDaemonsHoldLittle: with 160 MB and a share of a twentieth, jobs of 150 KB in
-// the mean are held by the dozen and one of 4 MB is not.
-func TestSmallDaemonsHoldLittle(t *testing.T) {
-	room := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0.05))
-	_, isHeld := room.Add(4 << 20)
-	require.False(t, isHeld)
-	leaves := []func(){}
+// TestSmallDaemonsBufferLittle fails if a daemon with 160 MB buffers a job of 4 MB, or doesn't
+// buffer about 18 jobs of 150 KB.
+func TestSmallDaemonsBufferLittle(t *testing.T) {
+	buffer := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0.05))
+	_, isBuffered := buffer.Add(4 << 20)
+	require.False(t, isBuffered)
+	releases := []func(){}
 	for {
-		leave, isHeld := room.Add(150 << 10)
-		if !isHeld {
+		release, isBuffered := buffer.Add(150 << 10)
+		if !isBuffered {
 			break
 		}
-		leaves = append(leaves, leave)
+		releases = append(releases, release)
 	}
-	require.InDelta(t, 18, len(leaves), 1)
-	for _, leave := range leaves {
-		leave()
+	require.InDelta(t, 18, len(releases), 1)
+	for _, release := range releases {
+		release()
 	}
-	require.Zero(t, room.Count())
-	_, isHeld = room.Add(150 << 10)
-	require.True(t, isHeld)
+	require.Zero(t, buffer.Count())
+	_, isBuffered = buffer.Add(150 << 10)
+	require.True(t, isBuffered)
 }
 
-// TestNumberIsBoundedToo: contents may be tiny.
-func TestNumberIsBoundedToo(t *testing.T) {
-	room := submissionbuffer.New(submissionbuffer.LimitsOf(0, 0.05))
-	held := 0
+// TestCountIsBounded fails if small contents are buffered without a bound on their number.
+func TestCountIsBounded(t *testing.T) {
+	buffer := submissionbuffer.New(submissionbuffer.LimitsOf(0, 0.05))
+	buffered := 0
 	for range 1000 {
-		if _, isHeld := room.Add(1); isHeld {
-			held++
+		if _, isBuffered := buffer.Add(1); isBuffered {
+			buffered++
 		}
 	}
-	require.Equal(t, 64, held)
+	require.Equal(t, 64, buffered)
 }
 
-// TestNothingIsHeldWithoutAShare.
-func TestNothingIsHeldWithoutAShare(t *testing.T) {
-	_, isHeld := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0)).Add(1)
-	require.False(t, isHeld)
+// TestNothingIsBufferedWithoutShare fails if a daemon with a share of 0 buffers submissions.
+func TestNothingIsBufferedWithoutShare(t *testing.T) {
+	_, isBuffered := submissionbuffer.New(submissionbuffer.LimitsOf(160, 0)).Add(1)
+	require.False(t, isBuffered)
 }
 
-// TestOutageIsExpectedToLastAsLongAgain, within what callers can wait for.
-func TestOutageIsExpectedToLastAsLongAgain(t *testing.T) {
+// TestRetryAfterFollowsOutage fails if the retry delay doesn't follow the outage's duration
+// within its bounds.
+func TestRetryAfterFollowsOutage(t *testing.T) {
 	require.Equal(t, 500*time.Millisecond, submissionbuffer.RetryAfter(100*time.Millisecond, false))
 	require.Equal(t, 2*time.Second, submissionbuffer.RetryAfter(2*time.Second, false))
 	require.Equal(t, 3*time.Second, submissionbuffer.RetryAfter(time.Minute, false))
-	require.Less(t, submissionbuffer.RetryAfter(2*time.Second, true), 200*time.Millisecond, "it is held again wherever it comes")
+	require.Less(t, submissionbuffer.RetryAfter(2*time.Second, true), 200*time.Millisecond, "a buffered caller retries soon")
 }
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -6,7 +6,7 @@
 mutant reservations_not_first internal/quota/ledger.go \
 	'if !added.isReservation() {' 'if true {' internal/quota TestReservationsGoBeforeWhatIsRepeated
 mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
-	'r.bytes+taken > r.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsHoldLittle
+	'b.bytes+reserved > b.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsBufferLittle
 mutant held_memory_not_given_back internal/job/held.go \
 	'defer leave()' '_ = leave' internal/job TestHeldSubmissionEndsWithItsCaller
 mutant not_held internal/job/accept.go \
