--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -1,58 +1,58 @@
-// Package memory keeps one account of the bytes that a daemon holds on behalf of
-// callers: bodies that were read and answers that they have not read yet. A daemon on a
-// small machine is ended when it passes its memory, and everybody's requests with it.
+// Package memory counts the bytes that a daemon buffers for callers: request bodies, answers,
+// and output that callers have not read. Without a limit a daemon on a small machine runs out
+// of memory and is killed with all its requests.
 //
-// Invariant: a request or unread bytes beyond SmallBytes begin to be held only while all
-// that is held then stays within the limit. Answers are counted whatever the limit says,
-// because one that a backend has made is delivered.
+// Invariant: an allocation of requests or unread output grows beyond SmallBytes only if all
+// counted bytes then stay within the limit. Answers are counted regardless of the limit,
+// because an answer that a backend has produced is delivered.
 package memory
 
 import "sync"
 
-// Purpose tells what bytes are held for.
+// Purpose is what bytes are allocated for.
 type Purpose string
 
 // The purposes.
 const (
 	// PurposeRequest is the body of a caller's request.
 	PurposeRequest Purpose = "request"
-	// PurposeAnswer is the body of a backend's whole answer.
+	// PurposeAnswer is the body of a backend's complete answer.
 	PurposeAnswer Purpose = "answer"
-	// PurposeUnread is what a caller has not read of its answer.
+	// PurposeUnread is the part of an answer that the caller has not read.
 	PurposeUnread Purpose = "unread"
 )
 
-// Purposes are all of them.
+// Purposes returns all purposes.
 func Purposes() []Purpose { return []Purpose{PurposeRequest, PurposeAnswer, PurposeUnread} }
 
-// SmallBytes is what is held for anybody whatever the account says: a prompt or a short
-// answer, which small machines bear for as many callers as they have descriptors for.
+// SmallBytes is the size up to which an allocation is always allowed, enough for a prompt or a
+// short answer.
 const SmallBytes = 16 << 10
 
-// Account counts held bytes against a limit. It is safe for concurrent use; mutex
-// guards the fields behind it. A nil account counts nothing and has no limit.
+// Account counts allocated bytes against a limit. It is safe for concurrent use; mutex guards
+// the fields after it. A nil account counts nothing and has no limit.
 type Account struct {
 	limit int64
 
 	mutex sync.Mutex
 	total int64
-	held  map[Purpose]int64
+	used  map[Purpose]int64
 }
 
 // NewAccount returns an account with a limit in bytes; 0 means none.
 func NewAccount(limit int64) *Account {
-	return &Account{limit: limit, held: map[Purpose]int64{}}
+	return &Account{limit: limit, used: map[Purpose]int64{}}
 }
 
-// Used returns the bytes that are held for a purpose.
+// Used returns the bytes allocated for a purpose.
 func (a *Account) Used(purpose Purpose) int64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.held[purpose]
+	return a.used[purpose]
 }
 
-// HasRoom reports whether so many bytes could be held now. It holds none: what was only
-// announced must not keep others out.
+// HasRoom reports whether size bytes could be allocated now. It allocates none, so that
+// requests that are only announced don't block others.
 func (a *Account) HasRoom(size int) bool {
 	if a == nil {
 		return true
@@ -62,62 +62,62 @@
 	return a.hasRoom(0, int64(size))
 }
 
-// hasRoom reports whether a holding of a size may grow. mutex must be held.
-func (a *Account) hasRoom(held, size int64) bool {
-	return a.limit <= 0 || held+size <= SmallBytes || a.total+size <= a.limit
+// hasRoom reports whether an allocation may grow by size bytes. mutex must be held.
+func (a *Account) hasRoom(allocated, size int64) bool {
+	return a.limit <= 0 || allocated+size <= SmallBytes || a.total+size <= a.limit
 }
 
-// Allocation is bytes on an account, held by one goroutine at a time. The zero value holds
-// nothing on no account.
+// Allocation is a number of bytes on an account, used by one goroutine at a time. The zero
+// value belongs to no account and counts nothing.
 type Allocation struct {
 	account *Account
 	purpose Purpose
 	size    int64
 }
 
-// Open returns a holding of no bytes yet.
+// Open returns an empty allocation.
 func (a *Account) Open(purpose Purpose) Allocation { return Allocation{account: a, purpose: purpose} }
 
-// TryGrow holds more bytes and reports whether there was room.
-func (h *Allocation) TryGrow(size int) bool {
-	if h.account == nil {
+// TryGrow adds bytes if the limit allows it, and reports whether it did.
+func (a *Allocation) TryGrow(size int) bool {
+	if a.account == nil {
 		return true
 	}
-	h.account.mutex.Lock()
-	defer h.account.mutex.Unlock()
-	if !h.account.hasRoom(h.size, int64(size)) {
+	a.account.mutex.Lock()
+	defer a.account.mutex.Unlock()
+	if !a.account.hasRoom(a.size, int64(size)) {
 		return false
 	}
-	h.add(int64(size))
+	a.add(int64(size))
 	return true
 }
 
-// Grow holds more bytes, whether or not there is room.
-func (h *Allocation) Grow(size int) {
-	if h.account == nil {
+// Grow adds bytes regardless of the limit.
+func (a *Allocation) Grow(size int) {
+	if a.account == nil {
 		return
 	}
-	h.account.mutex.Lock()
-	defer h.account.mutex.Unlock()
-	h.add(int64(size))
+	a.account.mutex.Lock()
+	defer a.account.mutex.Unlock()
+	a.add(int64(size))
 }
 
-// Shrink gives bytes back.
-func (h *Allocation) Shrink(size int) {
-	if h.account == nil {
+// Shrink removes bytes.
+func (a *Allocation) Shrink(size int) {
+	if a.account == nil {
 		return
 	}
-	h.account.mutex.Lock()
-	defer h.account.mutex.Unlock()
-	h.add(-int64(size))
+	a.account.mutex.Lock()
+	defer a.account.mutex.Unlock()
+	a.add(-int64(size))
 }
 
-// add counts bytes. The account's mutex must be held.
-func (h *Allocation) add(size int64) {
-	h.size += size
-	h.account.total += size
-	h.account.held[h.purpose] += size
+// add adds bytes; size may be negative. The account's mutex must be held.
+func (a *Allocation) add(size int64) {
+	a.size += size
+	a.account.total += size
+	a.account.used[a.purpose] += size
 }
 
-// Release gives all of it back.
-func (h *Allocation) Release() { h.Shrink(int(h.size)) }
+// Release removes all bytes.
+func (a *Allocation) Release() { a.Shrink(int(a.size)) }
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -11,9 +11,9 @@
 
 const kilobyte = 1 << 10
 
-// TestAccountStaysWithinItsLimit whatever is held and given back, but for small
-// holdings, and comes back to nothing.
-func TestAccountStaysWithinItsLimit(t *testing.T) {
+// TestAccountStaysWithinLimit fails if allocations exceed the limit by more than the small
+// ones, or bytes remain counted after all are released.
+func TestAccountStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 500 * kilobyte
 		account := memory.NewAccount(limit)
@@ -24,28 +24,29 @@
 			}
 			return sum
 		}
-		holdings := make([]memory.Allocation, 6)
-		for index := range holdings {
-			holdings[index] = account.Open(memory.Purposes()[index%3])
+		allocations := make([]memory.Allocation, 6)
+		for index := range allocations {
+			allocations[index] = account.Open(memory.Purposes()[index%3])
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			held := &holdings[rapid.IntRange(0, len(holdings)-1).Draw(t, "holding")]
+			allocation := &allocations[rapid.IntRange(0, len(allocations)-1).Draw(t, "allocation")]
 			if rapid.Bool().Draw(t, "release") {
-				held.Release()
+				allocation.Release()
 			} else {
-				held.TryGrow(rapid.IntRange(0, 200*kilobyte).Draw(t, "size"))
+				allocation.TryGrow(rapid.IntRange(0, 200*kilobyte).Draw(t, "size"))
 			}
-			require.LessOrEqual(t, total(), int64(limit+len(holdings)*16*kilobyte))
+			require.LessOrEqual(t, total(), int64(limit+len(allocations)*16*kilobyte))
 		}
-		for index := range holdings {
-			holdings[index].Release()
+		for index := range allocations {
+			allocations[index].Release()
 		}
 		require.Zero(t, total())
 	})
 }
 
-// TestAnswersAreCountedBeyondTheLimit and keep large requests out meanwhile.
-func TestAnswersAreCountedBeyondTheLimit(t *testing.T) {
+// TestAnswersAreCountedBeyondLimit fails if answers beyond the limit aren't counted, or don't
+// block large requests.
+func TestAnswersAreCountedBeyondLimit(t *testing.T) {
 	account := memory.NewAccount(100 * kilobyte)
 	answer := account.Open(memory.PurposeAnswer)
 	answer.Grow(300 * kilobyte)
@@ -56,11 +57,11 @@
 	require.True(t, account.HasRoom(20*kilobyte))
 }
 
-// TestNoAccountCountsNothing.
-func TestNoAccountCountsNothing(t *testing.T) {
+// TestNilAccountCountsNothing fails if a nil account panics or refuses an allocation.
+func TestNilAccountCountsNothing(t *testing.T) {
 	var none *memory.Account
 	require.True(t, none.HasRoom(1<<30))
-	held := none.Open(memory.PurposeAnswer)
-	held.Grow(1 << 30)
-	held.Release()
+	allocation := none.Open(memory.PurposeAnswer)
+	allocation.Grow(1 << 30)
+	allocation.Release()
 }
--- a/test/mutants.d/memory.sh
+++ b/test/mutants.d/memory.sh
@@ -11,4 +11,4 @@
 mutant no_piece_where_memory_is_full platform/callerwriter.go \
 	'kept = min(kept, memory.SmallBytes-len(w.pending))' 'kept = 0' platform TestWritingGoesOnWhereMemoryIsFull
 mutant account_without_limit internal/memory/account.go \
-	'a.total+size <= a.limit' 'true' internal/memory 'TestAccountStaysWithinItsLimit|TestAnswersAreCountedBeyondTheLimit'
+	'a.total+size <= a.limit' 'true' internal/memory 'TestAccountStaysWithinLimit|TestAnswersAreCountedBeyondLimit'
