--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PromptPart is one part of a prompt, in order; equal ids are equal text.
+// PromptPart is one part of a prompt. Parts with equal ids have equal text.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -17,70 +17,71 @@
 // Candidate is a snapshot of one backend for one request.
 type Candidate struct {
 	ID string
-	// StartMillis is the start of the backend's process as it told it, or 0: a place that it
-	// set aside is held against it, for a process that starts again has none.
+	// StartMillis is the reported start time of the backend's process in Unix
+	// milliseconds, or 0 if unknown. It identifies the incarnation that a
+	// reservation belongs to.
 	StartMillis int64
 	Zone        string
 	Slots       int
-	// Closed backends get no new work and are never chosen: they leave, their zone is
-	// evacuated, or they are cold and bear no more now.
+	// Closed backends are never chosen: they are draining, their zone is being
+	// evacuated, or they are cold and have used up their allowance.
 	Closed bool
-	// Ejected backends are chosen only when all are ejected.
+	// Ejected backends are chosen only if no other is eligible.
 	Ejected bool
-	// Online and Batch are the requests in flight there from all daemons;
-	// OwnBatch is this daemon's part of Batch.
+	// Online and Batch count the requests in flight from all daemons; OwnBatch
+	// counts this daemon's share of Batch.
 	Online   int
 	Batch    int
 	OwnBatch int
-	// Waiting is what the backend itself reports as queued, if fresh.
+	// Waiting is the queue length in the backend's last report, if it is recent.
 	Waiting int
-	// ReportAge is how old the backend's own report is.
+	// ReportAge is the age of the backend's last report.
 	ReportAge time.Duration
-	// PendingTokens are prompt tokens that were sent and are not read yet.
+	// PendingTokens counts prompt tokens that were sent and are not processed yet.
 	PendingTokens int
-	// UncachedTokens are the request's prompt tokens to be read there.
+	// UncachedTokens counts the request's prompt tokens that the backend has not cached.
 	UncachedTokens int
-	// IsConnected tells that an idle connection to it is open.
+	// IsConnected is true if an idle connection to the backend is open.
 	IsConnected bool
 }
 
-// CostModel weighs what makes a first token late, in milliseconds.
+// CostModel holds the weights of the estimated time to the first token.
 type CostModel struct {
-	// TokensPerMillisecond is the speed at which prompts are read.
+	// TokensPerMillisecond is the prompt processing speed.
 	TokensPerMillisecond float64
-	// RequestMilliseconds is what one more running request costs another.
+	// RequestMilliseconds is the delay added by each running request.
 	RequestMilliseconds float64
 	// QueueMilliseconds is the mean wait for a slot per request ahead.
 	QueueMilliseconds float64
-	// ToleranceMilliseconds is the difference in cost that does not matter:
-	// among candidates within it of the cheapest, one is drawn by its free
-	// slots. Daemons choose at the same time from the same picture, a moment
-	// old; without a draw all would choose the same backend.
+	// ToleranceMilliseconds is the cost difference that is ignored: one of the
+	// candidates within it of the lowest cost is drawn at random, weighted by
+	// free slots. This keeps daemons with the same load data from all choosing
+	// the same backend.
 	ToleranceMilliseconds float64
-	// GiveWayMilliseconds is what a slot costs that a batch item has yet to
-	// leave; 0 means that items do not give way to the request.
-	GiveWayMilliseconds float64
-	// DoubtMilliseconds is what a slot costs that looks free after several backends
-	// which looked so had none: the picture is old.
-	DoubtMilliseconds float64
-	// DisturbMilliseconds is what each online request at a backend costs a
-	// request whose prompt is read for longer than DisturbFrom milliseconds: while
-	// it is read, the others get a token with each piece of it, and a pause in
-	// their streams is as long as the whole reading.
-	DisturbMilliseconds float64
-	DisturbFrom         float64
-	// Zone is the chooser's own: among candidates with nearly the lowest cost
-	// those in it are preferred. Empty means that zones do not matter.
+	// PreemptMilliseconds is the cost of a slot for which a batch item has to be
+	// preempted; 0 means that the request may not preempt.
+	PreemptMilliseconds float64
+	// StaleMilliseconds is the cost added to a backend without batch items when
+	// the load data seems stale: several backends had no free slot although the
+	// data showed one.
+	StaleMilliseconds float64
+	// InterferenceMilliseconds is the cost per online request at the backend for
+	// a prompt that takes InterferenceFrom milliseconds or more to process, since
+	// processing it delays the other requests' output.
+	InterferenceMilliseconds float64
+	InterferenceFrom         float64
+	// Zone is the daemon's own zone. Candidates in it are preferred among those
+	// within the tolerance. Empty means no preference.
 	Zone string
-	// AffinityTokens is the size of a first prompt part from which on requests
-	// prefer the backend that rendezvous hashing names.
+	// AffinityTokens is the size of the first prompt part from which requests
+	// prefer the backend selected by rendezvous hashing.
 	AffinityTokens int
 }
 
-// DefaultCostModel returns the weights for services that read prompts.
+// DefaultCostModel returns the weights for language-model services.
 func DefaultCostModel() CostModel {
 	return CostModel{TokensPerMillisecond: 85, RequestMilliseconds: 2, QueueMilliseconds: 50, ToleranceMilliseconds: 25, AffinityTokens: 2000,
-		DisturbMilliseconds: 60, DisturbFrom: 250}
+		InterferenceMilliseconds: 60, InterferenceFrom: 250}
 }
 
 // Cost estimates the milliseconds until the first token at the candidate.
@@ -88,35 +89,36 @@
 	inFlight := candidate.Online + candidate.Batch
 	queued := max(inFlight+1-candidate.Slots, 0)
 	queued = max(queued, candidate.Waiting)
-	read := float64(candidate.PendingTokens+candidate.UncachedTokens) / m.TokensPerMillisecond
-	return read + float64(inFlight)*m.RequestMilliseconds + m.wait(candidate, queued) + m.disturbance(candidate)
+	processing := float64(candidate.PendingTokens+candidate.UncachedTokens) / m.TokensPerMillisecond
+	return processing + float64(inFlight)*m.RequestMilliseconds + m.wait(candidate, queued) + m.interference(candidate)
 }
 
-// disturbance is what the request would do to the streams at the candidate.
-// Batch items are not disturbed by pauses.
-func (m CostModel) disturbance(candidate Candidate) float64 {
-	if float64(candidate.UncachedTokens)/m.TokensPerMillisecond < m.DisturbFrom {
+// interference returns the cost of delaying the online requests that run at the
+// candidate. Batch items are ignored: they have no latency objective.
+func (m CostModel) interference(candidate Candidate) float64 {
+	if float64(candidate.UncachedTokens)/m.TokensPerMillisecond < m.InterferenceFrom {
 		return 0
 	}
-	return float64(max(candidate.Online, 0)) * m.DisturbMilliseconds
+	return float64(max(candidate.Online, 0)) * m.InterferenceMilliseconds
 }
 
-// wait estimates how long a request waits for a slot behind so many others.
+// wait estimates the milliseconds until the request gets a slot after queued
+// other requests.
 func (m CostModel) wait(candidate Candidate, queued int) float64 {
-	givingWay := 0
-	if m.GiveWayMilliseconds > 0 {
-		givingWay = min(queued, max(candidate.Batch, 0))
+	preemptable := 0
+	if m.PreemptMilliseconds > 0 {
+		preemptable = min(queued, max(candidate.Batch, 0))
 	}
-	wait := float64(queued-givingWay)*m.QueueMilliseconds + float64(givingWay)*m.GiveWayMilliseconds
+	wait := float64(queued-preemptable)*m.QueueMilliseconds + float64(preemptable)*m.PreemptMilliseconds
 	if candidate.Batch > 0 {
 		return wait
 	}
-	return wait + m.DoubtMilliseconds
+	return wait + m.StaleMilliseconds
 }
 
-// ChooseByCost picks one of the candidates with nearly the lowest estimated
-// cost. Excluded
-// ones have failed the request already. It reports false when none is left.
+// ChooseByCost picks one of the candidates whose estimated cost is within the
+// tolerance of the lowest. Candidates in excluded, by id, are never chosen. It
+// returns false if no candidate is eligible.
 func ChooseByCost(model CostModel, prompt []PromptPart, candidates []Candidate, excluded map[string]bool, random *rand.Rand) (Candidate, bool) {
 	for _, useEjected := range []bool{false, true} {
 		best, found := cheapest(model, prompt, candidates, excluded, useEjected, random)
@@ -127,20 +129,21 @@
 	return Candidate{}, false
 }
 
-// cheapest draws one of the candidates whose cost is nearly the lowest.
+// cheapest draws one of the eligible candidates whose cost is within the
+// tolerance of the lowest.
 func cheapest(model CostModel, prompt []PromptPart, candidates []Candidate, excluded map[string]bool, useEjected bool, random *rand.Rand) (Candidate, bool) {
 	possible := make([]pricedCandidate, 0, len(candidates))
 	lowest := math.Inf(1)
-	home := model.home(prompt, candidates)
+	affinity := model.affinityBackend(prompt, candidates)
 	for index := range candidates {
 		candidate := &candidates[index]
 		if candidate.Closed || excluded[candidate.ID] || (candidate.Ejected && !useEjected) {
 			continue
 		}
 		cost := model.Cost(*candidate)
-		if candidate.ID == home && candidate.UncachedTokens >= prompt[0].Tokens {
-			// Who reads the part first should be the same for all daemons.
-			cost -= float64(prompt[0].Tokens) / model.TokensPerMillisecond / homeShare
+		if candidate.ID == affinity && candidate.UncachedTokens >= prompt[0].Tokens {
+			// All daemons send the first request with this part to the same backend.
+			cost -= float64(prompt[0].Tokens) / model.TokensPerMillisecond / affinityDivisor
 		}
 		lowest = min(lowest, cost)
 		possible = append(possible, pricedCandidate{candidate: candidate, cost: cost})
@@ -157,9 +160,8 @@
 	return *draw(model.preferred(near), random), true
 }
 
-// preferred returns the candidates that cost least beside time: no new
-// connection, and no bytes between zones. One without a free slot is not
-// preferred to any other.
+// preferred returns the candidates with a free slot that need no new connection
+// or no traffic between zones, or near if there are none.
 func (m CostModel) preferred(near []pricedCandidate) []pricedCandidate {
 	for _, isPreferred := range []func(*Candidate) bool{
 		func(candidate *Candidate) bool { return candidate.IsConnected && candidate.Zone == m.Zone },
@@ -184,38 +186,39 @@
 	cost      float64
 }
 
-// fullWeight is the weight of a candidate without a free slot, in slots.
-const fullWeight = 0.1
+// minWeight is the weight, in slots, of a candidate without a free slot.
+const minWeight = 0.1
 
-// weight is how likely a candidate is drawn: by its free slots.
+// weight returns the candidate's weight in a random draw: its free slots.
 func (c *Candidate) weight() float64 {
 	free := c.Slots - max(c.Online+c.Batch, 0) - c.Waiting
-	return max(float64(free), fullWeight)
+	return max(float64(free), minWeight)
 }
 
-// draw picks one of several candidates by weight.
+// draw picks a random candidate by weight.
 func draw(candidates []pricedCandidate, random *rand.Rand) *Candidate {
 	total := 0.0
 	for _, each := range candidates {
 		total += each.candidate.weight()
 	}
-	left := random.Float64() * total
+	remaining := random.Float64() * total
 	for _, each := range candidates {
-		left -= each.candidate.weight()
-		if left < 0 {
+		remaining -= each.candidate.weight()
+		if remaining < 0 {
 			return each.candidate
 		}
 	}
 	return candidates[len(candidates)-1].candidate
 }
 
-// homeShare is the part, as one in so many, of a large first part's cost that
-// its home is let off while nobody is known to have read it.
-const homeShare = 2
+// affinityDivisor sets the discount of the affinity backend while the prompt's
+// large first part is not cached there: the part's processing time divided by it.
+const affinityDivisor = 2
 
-// home names the backend on which requests with the same large first part
-// should gather, so that all daemons agree without talking.
-func (m CostModel) home(prompt []PromptPart, candidates []Candidate) string {
+// affinityBackend returns the id of the backend preferred for requests with the
+// same large first part, or "". Rendezvous hashing gives all daemons the same
+// result.
+func (m CostModel) affinityBackend(prompt []PromptPart, candidates []Candidate) string {
 	if len(prompt) < 2 || prompt[0].Tokens < m.AffinityTokens {
 		return ""
 	}
--- a/internal/routing/cost_test.go
+++ b/internal/routing/cost_test.go
@@ -23,9 +23,9 @@
 	return candidates
 }
 
-// TestCostNeverChoosesWhatMayNotTakeTheRequest: leaving and excluded backends
-// never, ejected ones only when nothing else is left.
-func TestCostNeverChoosesWhatMayNotTakeTheRequest(t *testing.T) {
+// TestCostChoosesEligibleBackend: closed and excluded backends are never chosen,
+// ejected ones only if no other is eligible.
+func TestCostChoosesEligibleBackend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		excluded := map[string]bool{}
@@ -53,10 +53,9 @@
 	})
 }
 
-// TestUnreadPromptGathersAtOneHome: daemons that know nothing of each other
-// send the first requests with a large shared part to the same backend, and
-// leave it when it is busy.
-func TestUnreadPromptGathersAtOneHome(t *testing.T) {
+// TestUncachedPromptPartHasOneBackend: independent daemons send the first requests
+// with a large shared part to the same backend, unless it is busy.
+func TestUncachedPromptPartHasOneBackend(t *testing.T) {
 	prompt := []routing.PromptPart{{ID: "manual", Tokens: 13000}, {ID: "own", Tokens: 100}}
 	candidates := []routing.Candidate{}
 	for index := range 12 {
@@ -77,9 +76,9 @@
 	require.False(t, homes[chosen.ID])
 }
 
-// TestChoicesFromOnePictureSpread: daemons that choose at the same moment from
-// the same picture do not all fill the backend that looks best.
-func TestChoicesFromOnePictureSpread(t *testing.T) {
+// TestConcurrentChoicesSpread: daemons that choose at the same moment from the same
+// load data do not overload the backend with the lowest cost.
+func TestConcurrentChoicesSpread(t *testing.T) {
 	const backends, choices, slots = 72, 100, 9
 	candidates := []routing.Candidate{}
 	for index := range backends {
@@ -92,13 +91,12 @@
 		require.True(t, found)
 		placed[chosen.ID]++
 	}
-	require.Zero(t, placed["b1"], "a full back end gets nothing while others have room")
+	require.Zero(t, placed["b1"], "a full backend gets no request while others have free slots")
 	for _, candidate := range candidates {
 		require.LessOrEqual(t, placed[candidate.ID], candidate.Slots-candidate.Online, candidate.ID)
 	}
 }
 
-// TestCostRisesWithLoad.
 func TestCostRisesWithLoad(t *testing.T) {
 	model := routing.DefaultCostModel()
 	idle := routing.Candidate{Slots: 4}
@@ -109,9 +107,9 @@
 	}
 }
 
-// TestKeptConnectionsAndOwnZoneArePreferred among candidates of nearly the same
-// cost, as long as they have a free slot.
-func TestKeptConnectionsAndOwnZoneArePreferred(t *testing.T) {
+// TestOpenConnectionAndOwnZonePreferred among candidates within the tolerance, as
+// long as they have a free slot.
+func TestOpenConnectionAndOwnZonePreferred(t *testing.T) {
 	model := routing.DefaultCostModel()
 	model.Zone = "here"
 	candidates := []routing.Candidate{
@@ -130,9 +128,9 @@
 	require.Equal(t, "far", choose())
 }
 
-// TestLongPromptsLeaveStreamsAlone: a prompt that is read for long goes where no
-// online request runs, beside batch items if need be; a short one does not care.
-func TestLongPromptsLeaveStreamsAlone(t *testing.T) {
+// TestLongPromptAvoidsOnlineRequests: a long prompt goes to a backend without online
+// requests, even if that runs batch items; a short prompt does not.
+func TestLongPromptAvoidsOnlineRequests(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	for tokens, expected := range map[int]string{60_000: "items", 1000: "stream"} {
 		candidates := []routing.Candidate{
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing chooses the engine of an online request. It is pure: it
-// works on a snapshot of the zone's engines and an injected random source.
+// Package routing chooses the engine or backend of a request: Router by load and
+// prompt prefix, ChooseByCost by the estimated time to the first token. It works on
+// snapshots and an injected random source and does no I/O.
 package routing
 
 import (
@@ -11,37 +12,36 @@
 	"topazpulley/internal/registry"
 )
 
-// Policy is a way to choose; all but PolicyFull are baselines for measurement.
+// Policy is a routing algorithm; all but PolicyFull are baselines for measurements.
 type Policy string
 
 // The policies.
 const (
-	// PolicyFull is prefix affinity with bounded load over lag-corrected power
-	// of two choices.
+	// PolicyFull is prefix affinity with bounded load, then PolicyLagCorrected.
 	PolicyFull Policy = "full"
-	// PolicyLagCorrected is power of two choices on the report plus what was
-	// sent since.
+	// PolicyLagCorrected is power of two choices on the reported load plus the
+	// requests sent since the report.
 	PolicyLagCorrected Policy = "lag_corrected"
-	// PolicyReportOnly is power of two choices on the lagging report alone.
+	// PolicyReportOnly is power of two choices on the reported load alone.
 	PolicyReportOnly Policy = "report_only"
-	// PolicyLeastInFlight looks at this daemon's own requests only.
+	// PolicyLeastInFlight chooses by this daemon's own requests only.
 	PolicyLeastInFlight Policy = "least_in_flight"
 	// PolicyRoundRobin ignores load.
 	PolicyRoundRobin Policy = "round_robin"
 )
 
-// Request is what routing needs to know of a request.
+// Request holds the properties of a request that routing uses.
 type Request struct {
-	// Model must be loaded on the engine; empty for plain services.
+	// Model must be loaded on the engine; empty means any engine.
 	Model string
 	// PrefixHash groups requests that share a prompt prefix; 0 means none.
 	PrefixHash uint64
-	// OnlineLimit is the greatest number of online requests per engine.
+	// OnlineLimit is the maximum number of online requests per engine; 0 means
+	// no limit.
 	OnlineLimit int
-	// Excluded names engines that have failed the request.
+	// Excluded holds the names of engines where the request has failed.
 	Excluded map[string]bool
-	// UseEjected lets engines that were ejected after failures take the
-	// request: when all are, trying one beats refusing.
+	// UseEjected makes engines that were ejected after failures eligible.
 	UseEjected bool
 }
 
@@ -59,18 +59,19 @@
 }
 
 const (
+	// prefixBytes is the size of the prompt block that is hashed.
 	prefixBytes = 256
-	// affinitySlack is how much above the mean load the preferred engine of a
-	// prefix may be.
+	// affinitySlack and affinityExtra bound the load of a prefix's preferred
+	// engine: mean load times affinitySlack plus affinityExtra requests.
 	affinitySlack = 1.25
 	affinityExtra = 2
-	// affinityChoices is the number of engines that a prefix may use before
-	// it is routed by load alone.
+	// affinityChoices is the number of preferred engines that are tried for a
+	// prefix before the request is routed by load alone.
 	affinityChoices = 2
 )
 
-// PrefixHash hashes the first block of a prompt; prompts shorter than a block
-// share nothing worth keeping.
+// PrefixHash returns the hash of the first block of a prompt, or 0 if the prompt
+// is shorter than a block.
 func PrefixHash(prompt string) uint64 {
 	if len(prompt) < prefixBytes {
 		return 0
@@ -78,12 +79,13 @@
 	return xxhash.Sum64String(prompt[:prefixBytes])
 }
 
-// Load is the estimated number of online requests on an engine.
+// Load returns the estimated number of online requests on an engine.
 func Load(engine registry.Engine) int {
 	return max(engine.Load.Online+engine.Load.Waiting+engine.NetSince, engine.InFlight)
 }
 
-// Eligible returns the engines that may take the request and have room.
+// Eligible returns the engines that can serve the request and are below its
+// online limit.
 func Eligible(request Request, engines []registry.Engine, now time.Time) []registry.Engine {
 	eligible := make([]registry.Engine, 0, len(engines))
 	for _, candidate := range engines {
@@ -102,8 +104,7 @@
 	return eligible
 }
 
-// Choose picks one of the eligible engines; it reports false when there is
-// none.
+// Choose picks one of the eligible engines. It returns false if there is none.
 func (r *Router) Choose(request Request, engines []registry.Engine, now time.Time) (registry.Engine, bool) {
 	eligible := Eligible(request, engines, now)
 	if len(eligible) == 0 {
@@ -114,7 +115,7 @@
 		r.next++
 		return eligible[r.next%uint64(len(eligible))], true
 	case PolicyLeastInFlight:
-		return least(eligible, func(e registry.Engine) int { return e.InFlight }), true
+		return leastLoaded(eligible, func(e registry.Engine) int { return e.InFlight }), true
 	case PolicyReportOnly:
 		return r.twoChoices(eligible, func(e registry.Engine) int { return e.Load.Online + e.Load.Waiting }), true
 	case PolicyLagCorrected:
@@ -128,7 +129,7 @@
 	return r.twoChoices(eligible, Load), true
 }
 
-func least(eligible []registry.Engine, load func(registry.Engine) int) registry.Engine {
+func leastLoaded(eligible []registry.Engine, load func(registry.Engine) int) registry.Engine {
 	best := eligible[0]
 	for _, candidate := range eligible[1:] {
 		if load(candidate) < load(best) {
@@ -147,8 +148,8 @@
 	return first
 }
 
-// byPrefix returns the prefix's preferred engine, by rendezvous hashing, whose
-// load is within the bound.
+// byPrefix returns the first of the prefix's preferred engines, in the order of
+// rendezvous hashing, whose load is within the bound.
 func byPrefix(hash uint64, eligible []registry.Engine) (registry.Engine, bool) {
 	total := 0
 	for _, candidate := range eligible {
@@ -157,7 +158,7 @@
 	bound := affinitySlack*float64(total)/float64(len(eligible)) + affinityExtra
 	tried := map[string]bool{}
 	for range min(affinityChoices, len(eligible)) {
-		preferred := heaviest(hash, eligible, tried)
+		preferred := highestHash(hash, eligible, tried)
 		if float64(Load(preferred)) <= bound {
 			return preferred, true
 		}
@@ -166,7 +167,8 @@
 	return registry.Engine{}, false
 }
 
-func heaviest(hash uint64, eligible []registry.Engine, tried map[string]bool) registry.Engine {
+// highestHash returns the engine with the highest rendezvous hash that is not in tried.
+func highestHash(hash uint64, eligible []registry.Engine, tried map[string]bool) registry.Engine {
 	var best registry.Engine
 	bestWeight, found := uint64(0), false
 	for _, candidate := range eligible {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// anyEngine draws an engine in any state.
+// anyEngine draws an engine in a random state.
 func anyEngine(t *rapid.T, index int) registry.Engine {
 	view := engineView(fmt.Sprintf("e%d", index), rapid.IntRange(0, 40).Draw(t, "online"))
 	view.Record.Up = rapid.Bool().Draw(t, "up")
@@ -38,9 +38,9 @@
 	return view
 }
 
-// TestChosenEngineIsEligible: no policy ever picks an engine that is down,
-// leaving, ejected, excluded, full or without the model, and every policy picks
-// one if there is one.
+// TestChosenEngineIsEligible: no policy picks an engine that is down, leaving,
+// ejected, excluded, full or without the model, and every policy picks an engine
+// if one is eligible.
 func TestChosenEngineIsEligible(t *testing.T) {
 	policies := []routing.Policy{routing.PolicyFull, routing.PolicyLagCorrected, routing.PolicyReportOnly, routing.PolicyLeastInFlight, routing.PolicyRoundRobin}
 	rapid.Check(t, func(t *rapid.T) {
@@ -63,8 +63,8 @@
 	})
 }
 
-// TestLeavingEngineIsNotChosen: random engines hardly ever leave and lack nothing else, so
-// the test above passed once without the check that engines leave.
+// TestLeavingEngineIsNotChosen covers a leaving engine that is otherwise eligible,
+// which the random engines above rarely are.
 func TestLeavingEngineIsNotChosen(t *testing.T) {
 	leaving := engineView("a", 1)
 	request := routing.Request{Model: "m", OnlineLimit: 24}
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestPrefixKeepsItsEngineUntilItIsLoaded: requests of one prefix go to one
-// engine while its load is within the bound, and elsewhere above it.
-func TestPrefixKeepsItsEngineUntilItIsLoaded(t *testing.T) {
+// TestPrefixAffinityIsBoundedByLoad: requests with one prefix go to one engine
+// while its load is within the bound, and to another engine above it.
+func TestPrefixAffinityIsBoundedByLoad(t *testing.T) {
 	engines := []registry.Engine{engineView("a", 1), engineView("b", 1), engineView("c", 1), engineView("d", 1)}
 	router := routing.NewRouter(routing.PolicyFull, rand.New(rand.NewPCG(1, 2)))
 	request := routing.Request{Model: "m", PrefixHash: 42}
@@ -99,8 +99,8 @@
 	require.NotEqual(t, preferred.Name, elsewhere.Name)
 }
 
-// TestLeavingEngineMovesOnlyItsOwnPrefixes is what rendezvous hashing gives.
-func TestLeavingEngineMovesOnlyItsOwnPrefixes(t *testing.T) {
+// TestRemovedEngineMovesOnlyItsPrefixes: prefixes of other engines keep their engine.
+func TestRemovedEngineMovesOnlyItsPrefixes(t *testing.T) {
 	engines := []registry.Engine{}
 	for index := range 10 {
 		engines = append(engines, engineView(fmt.Sprintf("e%d", index), 0))
@@ -121,13 +121,13 @@
 	require.InDelta(t, 50, owned, 30)
 }
 
-func TestShortPromptsShareNoPrefix(t *testing.T) {
+func TestShortPromptHasNoPrefixHash(t *testing.T) {
 	require.Zero(t, routing.PrefixHash("short"))
 }
 
-// TestEjectedEnginesAreTheLastResort: an ejected engine is chosen only when the
-// request allows it, and never one that is down or leaving.
-func TestEjectedEnginesAreTheLastResort(t *testing.T) {
+// TestEjectedEngineNeedsUseEjected: an ejected engine is chosen only if the request
+// allows it, and an engine that is down never.
+func TestEjectedEngineNeedsUseEjected(t *testing.T) {
 	ejected, down := engineView("ejected", 0), engineView("down", 0)
 	ejected.EjectedUntil = now.Add(time.Minute)
 	down.Record.Up = false
--- a/internal/serving/core.go
+++ b/internal/serving/core.go
@@ -129,10 +129,10 @@
 	model := routing.DefaultCostModel()
 	model.Zone = c.Zone
 	if allowed != preemptNothing {
-		model.GiveWayMilliseconds = giveWayCost
+		model.PreemptMilliseconds = giveWayCost
 	}
 	if allowed == preemptAnywhere {
-		model.DoubtMilliseconds = doubtCost
+		model.StaleMilliseconds = doubtCost
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -153,7 +153,7 @@
 mutant relay_counts_own_work internal/exchange/relay.go \
 	'return total.without(r.members[name].work)' 'return total' internal/exchange TestRelayTellsEachDaemonTheOthersWork
 mutant no_draw internal/routing/cost.go \
-	'return *draw(model.preferred(near), random), true' 'return *near[0].candidate, true' internal/routing TestChoicesFromOnePictureSpread
+	'return *draw(model.preferred(near), random), true' 'return *near[0].candidate, true' internal/routing TestConcurrentChoicesSpread
 mutant no_quota_window internal/job/pacing.go \
 	'if now.Sub(p.since) < window {' 'if false {' internal/job TestOwnersDoNotPlaceTwiceIntoTheSameRoom
 mutant no_failure_count internal/job/progress.go \
