--- a/internal/slotqueue/firstoutput.go
+++ b/internal/slotqueue/firstoutput.go
@@ -2,26 +2,24 @@
 
 import "time"
 
-// leadWeight is the weight of the newest answer in the mean: some twenty answers, two
-// seconds of one daemon's requests, change it.
-const leadWeight = 0.1
+// sampleWeight is the weight of the newest sample in the moving average.
+const sampleWeight = 0.1
 
-// FirstOutputTime is the learned time from a place to the first output of an answer. The zero
-// value is ready for use; it is not safe for concurrent use.
+// FirstOutputTime is a moving average of the time from getting a slot to the first
+// output. The zero value is ready for use; it is not safe for concurrent use.
 type FirstOutputTime struct{ mean time.Duration }
 
-// Add learns from one answer.
-func (l *FirstOutputTime) Add(taken time.Duration) {
-	if l.mean == 0 {
-		l.mean = taken
+// Add adds one sample to the average.
+func (t *FirstOutputTime) Add(sample time.Duration) {
+	if t.mean == 0 {
+		t.mean = sample
 		return
 	}
-	l.mean += time.Duration(float64(taken-l.mean) * leadWeight)
+	t.mean += time.Duration(float64(sample-t.mean) * sampleWeight)
 }
 
-// Within returns the time to be kept for the answer of a request with that objective:
-// half of it at most, so that slow answers never make a request late that has just
-// come.
-func (l *FirstOutputTime) Within(objective time.Duration) time.Duration {
-	return min(l.mean, objective/2)
+// Within returns the average, but at most half of the objective: a new request is
+// never overdue at once, even if answers are slow.
+func (t *FirstOutputTime) Within(objective time.Duration) time.Duration {
+	return min(t.mean, objective/2)
 }
--- a/internal/slotqueue/load_test.go
+++ b/internal/slotqueue/load_test.go
@@ -7,96 +7,97 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// The load is played in steps of a millisecond.
+// Parameters of the simulated load. A simulation advances in steps of a millisecond.
 const (
-	backends     = 60
-	slots        = 8
-	objective    = 300 * time.Millisecond
-	patience     = 2 * time.Second
-	queueAfter   = 1200 * time.Millisecond
-	meanHeld     = 700 * time.Millisecond
-	meanAnswer   = 50 * time.Millisecond
-	overloadTime = 4 * time.Second
-	playedTime   = 8 * time.Second
-	calmShare    = 0.5
-	firstAsks    = 7
+	backends      = 60
+	slots         = 8
+	objective     = 300 * time.Millisecond
+	callerTimeout = 2 * time.Second
+	queueAfter    = 1200 * time.Millisecond
+	meanRunTime   = 700 * time.Millisecond
+	meanAnswer    = 50 * time.Millisecond
+	overloadTime  = 4 * time.Second
+	simulatedTime = 8 * time.Second
+	normalShare   = 0.5
+	firstAttempts = 7
 )
 
-// caller is one request of the load.
+// caller is one simulated request.
 type caller struct {
-	arrived time.Duration
-	asked   time.Duration
-	answer  time.Duration
-	// firstLeft counts the questions that are asked at once, before it waits.
-	firstLeft int
+	arrived   time.Duration
+	attempted time.Duration
+	answer    time.Duration
+	// firstRemaining counts the remaining attempts with a short pause, before Pause applies.
+	firstRemaining int
 }
 
-// way is how requests wait: how long between two questions, and whether one that has
-// waited for long is told that it gets no place; else it queues at a backend.
-type way struct {
-	pause        func(request slotqueue.Request, fleet slotqueue.Stats) time.Duration
-	isTurnedAway func(fleet slotqueue.Stats) bool
+// strategy is how requests wait: the pause between two attempts, and whether a request
+// is rejected after queueAfter; otherwise it queues at a backend.
+type strategy struct {
+	pause      func(request slotqueue.Request, fleet slotqueue.Stats) time.Duration
+	isRejected func(fleet slotqueue.Stats) bool
 }
 
 var (
-	// alone is how requests wait that know nothing of each other.
-	alone = way{
+	// independent requests use no queue statistics.
+	independent = strategy{
 		pause: func(request slotqueue.Request, _ slotqueue.Stats) time.Duration {
 			return slotqueue.PauseWithoutStats(request)
 		},
-		isTurnedAway: func(slotqueue.Stats) bool { return false },
+		isRejected: func(slotqueue.Stats) bool { return false },
 	}
-	ordered = way{pause: slotqueue.Pause, isTurnedAway: func(fleet slotqueue.Stats) bool { return fleet.IsOverloaded(objective) }}
+	// coordinated requests use the queue statistics of the fleet.
+	coordinated = strategy{pause: slotqueue.Pause, isRejected: func(fleet slotqueue.Stats) bool { return fleet.IsOverloaded(objective) }}
 )
 
-// outcome is what became of the requests that came during the overload, and of the
-// room. Lost are those whose callers have left before their first output.
+// outcome counts the requests that arrived during the overload by their result. The
+// callers of lost requests left before the first output.
 type outcome struct {
-	inTime, late, lost, turnedAway int
-	// unused is the part of the room that stood empty while requests waited.
+	onTime, overdue, lost, rejected int
+	// unused is the share of slots that were free while requests waited.
 	unused float64
 }
 
 func (o outcome) share() float64 {
-	return float64(o.inTime) / float64(o.inTime+o.late+o.lost+o.turnedAway)
+	return float64(o.onTime) / float64(o.onTime+o.overdue+o.lost+o.rejected)
 }
 
-// load plays a fleet whose requests compete for places.
+// load simulates a fleet whose requests compete for slots.
 type load struct {
-	way    way
-	age    time.Duration
-	random *rand.Rand
-
-	now     time.Duration
-	waiting []*caller
-	queues  [backends][]*caller
-	ends    [backends][]time.Duration
-	freed   slotqueue.Rate
-	lead    slotqueue.FirstOutputTime
-	told    []slotqueue.Stats
-	result  outcome
-	steps   int
-	empty   float64
+	strategy strategy
+	age      time.Duration
+	random   *rand.Rand
+
+	now           time.Duration
+	waiting       []*caller
+	queues        [backends][]*caller
+	ends          [backends][]time.Duration
+	freed         slotqueue.Rate
+	firstOutput   slotqueue.FirstOutputTime
+	stats         []slotqueue.Stats
+	result        outcome
+	overloadSteps int
+	freeSum       float64
 }
 
-// play has places come free at a rate of so many times the demand for a while, with
-// sums that are so old.
-func play(how way, ratio float64, age time.Duration, seed uint64) outcome {
-	played := &load{way: how, age: age, random: rand.New(rand.NewPCG(seed, seed))}
-	capacity := float64(backends*slots) / meanHeld.Seconds()
-	for ; played.now < playedTime+patience; played.now += time.Millisecond {
-		demand := capacity * calmShare
-		isCrowded := played.now >= time.Second && played.now < time.Second+overloadTime
-		if isCrowded {
+// simulate simulates an overload in which slots are freed at ratio times the demand and
+// the queue statistics have the given age.
+func simulate(strategy strategy, ratio float64, age time.Duration, seed uint64) outcome {
+	simulated := &load{strategy: strategy, age: age, random: rand.New(rand.NewPCG(seed, seed))}
+	capacity := float64(backends*slots) / meanRunTime.Seconds()
+	for ; simulated.now < simulatedTime+callerTimeout; simulated.now += time.Millisecond {
+		demand := capacity * normalShare
+		isOverloaded := simulated.now >= time.Second && simulated.now < time.Second+overloadTime
+		if isOverloaded {
 			demand = capacity / ratio
 		}
-		if played.now < playedTime {
-			played.arrive(demand / 1000)
+		if simulated.now < simulatedTime {
+			simulated.arrive(demand / 1000)
 		}
-		played.step(isCrowded)
+		simulated.step(isOverloaded)
 	}
-	played.result.unused = played.empty / float64(max(played.steps, 1))
-	return played.result
+	simulated.result.unused = simulated.freeSum / float64(max(simulated.overloadSteps, 1))
+	return simulated.result
 }
 
 func (l *load) at() time.Time { return time.Unix(100, 0).Add(l.now) }
@@ -104,33 +105,33 @@
 func (l *load) arrive(mean float64) {
 	for mean > 0 && l.random.Float64() < mean {
 		answer := meanAnswer/2 + time.Duration(l.random.Int64N(int64(meanAnswer)))
-		l.waiting = append(l.waiting, &caller{arrived: l.now, asked: l.now, answer: answer, firstLeft: firstAsks})
+		l.waiting = append(l.waiting, &caller{arrived: l.now, attempted: l.now, answer: answer, firstRemaining: firstAttempts})
 		mean--
 	}
 }
 
-func (l *load) step(isCrowded bool) {
+func (l *load) step(isOverloaded bool) {
 	for index := range l.ends {
 		l.endAt(index)
 	}
-	l.tell()
-	kept := l.waiting[:0]
+	l.publish()
+	waiting := l.waiting[:0]
 	l.random.Shuffle(len(l.waiting), func(one, other int) { l.waiting[one], l.waiting[other] = l.waiting[other], l.waiting[one] })
 	for _, each := range l.waiting {
-		if !l.goOn(each) {
-			kept = append(kept, each)
+		if !l.attempt(each) {
+			waiting = append(waiting, each)
 		}
 	}
-	l.waiting = kept
-	if isCrowded && len(l.waiting) > 0 {
-		l.steps++
+	l.waiting = waiting
+	if isOverloaded && len(l.waiting) > 0 {
+		l.overloadSteps++
 		for index := range l.ends {
-			l.empty += float64(slots-len(l.ends[index])) / (slots * backends)
+			l.freeSum += float64(slots-len(l.ends[index])) / (slots * backends)
 		}
 	}
 }
 
-// endAt frees the places of requests that end, for those in the backend's queue first.
+// endAt frees the slots of finished requests and starts requests from the backend's queue.
 func (l *load) endAt(index int) {
 	running := l.ends[index][:0]
 	for _, end := range l.ends[index] {
@@ -148,27 +149,28 @@
 	}
 }
 
-// goOn has a request ask if it may, and reports whether it waits no more.
-func (l *load) goOn(each *caller) bool {
+// attempt makes an attempt if the pause is over. It reports whether the request stopped
+// waiting.
+func (l *load) attempt(each *caller) bool {
 	if l.now-each.arrived >= queueAfter {
-		if l.way.isTurnedAway(l.told[0]) {
-			l.countTurnedAway(each)
+		if l.strategy.isRejected(l.stats[0]) {
+			l.countRejected(each)
 			return true
 		}
 		at := l.random.IntN(backends)
 		l.queues[at] = append(l.queues[at], each)
 		return true
 	}
-	until := each.arrived + objective - l.lead.Within(objective)
-	pause := l.way.pause(slotqueue.Request{Remaining: until - l.now}, l.told[0])
-	if each.firstLeft > 0 {
-		each.firstLeft--
+	until := each.arrived + objective - l.firstOutput.Within(objective)
+	pause := l.strategy.pause(slotqueue.Request{Remaining: until - l.now}, l.stats[0])
+	if each.firstRemaining > 0 {
+		each.firstRemaining--
 		pause = 2 * time.Millisecond
 	}
-	if l.now-each.asked < pause/2+time.Duration(l.random.Int64N(int64(pause))) {
+	if l.now-each.attempted < pause/2+time.Duration(l.random.Int64N(int64(pause))) {
 		return false
 	}
-	each.asked = l.now
+	each.attempted = l.now
 	at := l.random.IntN(backends)
 	if len(l.ends[at]) >= slots {
 		return false
@@ -181,42 +183,43 @@
 	return c.arrived >= time.Second && c.arrived < time.Second+overloadTime
 }
 
-func (l *load) countTurnedAway(each *caller) {
+func (l *load) countRejected(each *caller) {
 	if each.isCounted() {
-		l.result.turnedAway++
+		l.result.rejected++
 	}
 }
 
 func (l *load) run(each *caller, at int) {
-	held := meanHeld/2 + time.Duration(l.random.Int64N(int64(meanHeld)))
-	l.ends[at] = append(l.ends[at], l.now+held)
-	l.lead.Add(each.answer)
+	runTime := meanRunTime/2 + time.Duration(l.random.Int64N(int64(meanRunTime)))
+	l.ends[at] = append(l.ends[at], l.now+runTime)
+	l.firstOutput.Add(each.answer)
 	first := l.now + each.answer - each.arrived
 	if !each.isCounted() {
 		return
 	}
 	switch {
 	case first <= objective:
-		l.result.inTime++
-	case first <= patience:
-		l.result.late++
+		l.result.onTime++
+	case first <= callerTimeout:
+		l.result.overdue++
 	default:
 		l.result.lost++
 	}
 }
 
-// tell keeps the sums of each step; the oldest kept is the newest that all know.
-func (l *load) tell() {
-	sums := slotqueue.Stats{FreedSlots: l.freed.Count(l.at())}
+// publish appends the statistics of this step; the first element is the one that
+// requests see, l.age old.
+func (l *load) publish() {
+	stats := slotqueue.Stats{FreedSlots: l.freed.Count(l.at())}
 	for _, each := range l.waiting {
-		if l.now < each.arrived+objective-l.lead.Within(objective) {
-			sums.OnTime++
+		if l.now < each.arrived+objective-l.firstOutput.Within(objective) {
+			stats.OnTime++
 			continue
 		}
-		sums.Overdue++
+		stats.Overdue++
 	}
-	l.told = append(l.told, sums)
-	if len(l.told) > int(l.age/time.Millisecond) {
-		l.told = l.told[1:]
+	l.stats = append(l.stats, stats)
+	if len(l.stats) > int(l.age/time.Millisecond) {
+		l.stats = l.stats[1:]
 	}
 }
--- a/internal/slotqueue/rate.go
+++ b/internal/slotqueue/rate.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// counted is the time over which a Rate counts, and parts the pieces into which
-	// it is cut: what it returns covers between nine tenths of it and the whole.
-	counted = time.Second
-	parts   = 10
-	part    = counted / parts
+	// rateWindow is the time that a Rate covers, in rateBuckets buckets of bucketTime.
+	// The oldest bucket is partly expired, so a count covers 0.9 s to 1 s.
+	rateWindow  = time.Second
+	rateBuckets = 10
+	bucketTime  = rateWindow / rateBuckets
 )
 
-// Rate counts what happened in the last second. The zero value is ready for use; it is
+// Rate counts the events of the last second. The zero value is ready for use; it is
 // not safe for concurrent use.
 type Rate struct {
-	counts [parts]int
+	counts [rateBuckets]int
 	newest int64
 }
 
-// Add counts one more.
+// Add counts one event.
 func (r *Rate) Add(now time.Time) {
 	r.advance(now)
-	r.counts[r.newest%parts]++
+	r.counts[r.newest%rateBuckets]++
 }
 
-// Count returns how many there were in the last second.
+// Count returns the number of events in the last second.
 func (r *Rate) Count(now time.Time) int {
 	r.advance(now)
 	total := 0
@@ -33,17 +33,17 @@
 	return total
 }
 
-// advance empties the parts that are older than a second. A clock that was set back
-// counts on in the newest part.
+// advance clears the buckets that are older than a second. If the clock was set
+// back, events count in the newest bucket.
 func (r *Rate) advance(now time.Time) {
-	at := now.UnixNano() / int64(part)
-	if at-r.newest >= parts {
-		r.counts = [parts]int{}
+	at := now.UnixNano() / int64(bucketTime)
+	if at-r.newest >= rateBuckets {
+		r.counts = [rateBuckets]int{}
 		r.newest = at
 		return
 	}
 	for r.newest < at {
 		r.newest++
-		r.counts[r.newest%parts] = 0
+		r.counts[r.newest%rateBuckets] = 0
 	}
 }
--- a/internal/slotqueue/slotqueue.go
+++ b/internal/slotqueue/slotqueue.go
@@ -1,96 +1,91 @@
-// Package slotqueue decides who asks next for a place when more requests wait than
-// places come free. It knows no network and no clock: it is told what waits here,
-// what the fleet waits for, and how much time each request has left.
+// Package slotqueue decides how often waiting online requests try to get a slot at a
+// backend during overload. It does no I/O and reads no clock: Pause computes the time
+// between two attempts from the fleet's queue statistics and the request's remaining
+// time.
 //
-// A request that can still be in time asks often. One that cannot makes way: it asks
-// so seldom that nearly all places go to those in time, but often enough that no place
-// stays unused, and takes the room as soon as nobody in time wants it. Served in the
-// order in which requests came, or by their objectives, all of them would be a little
-// late while there is too little room.
+// Requests that can still meet their objective retry often. Overdue requests retry
+// rarely while on-time requests use all slots, and more often as slots stay free. Both
+// first come, first served and earliest deadline first would make all requests miss
+// their objectives during overload.
 package slotqueue
 
 import "time"
 
-// Stats is what waits for places of one service, and how fast places come free.
+// Stats holds the queue statistics of one service.
 type Stats struct {
-	// OnTime counts the online requests that wait and can still be in time, Late
-	// those that cannot.
+	// OnTime counts the waiting online requests that can still meet their
+	// objective, Overdue those that cannot.
 	OnTime, Overdue int
-	// FreedSlots counts the places that came free in the last second.
+	// FreedSlots counts the slots freed in the last second.
 	FreedSlots int
 }
 
-// Plus returns the sums of both.
+// Plus returns the sum of both statistics.
 func (s Stats) Plus(other Stats) Stats {
 	return Stats{OnTime: s.OnTime + other.OnTime, Overdue: s.Overdue + other.Overdue, FreedSlots: s.FreedSlots + other.FreedSlots}
 }
 
-// Minus returns the sums less a part of them.
+// Minus returns the statistics without part.
 func (s Stats) Minus(part Stats) Stats {
 	return Stats{OnTime: s.OnTime - part.OnTime, Overdue: s.Overdue - part.Overdue, FreedSlots: s.FreedSlots - part.FreedSlots}
 }
 
 const (
-	// ShortestPause and LongestPause bound the time between two questions of a
-	// request that can still be in time; attemptsOnTime is how many of the present
-	// pauses fit into the time that it has left.
+	// ShortestPause and LongestPause bound the time between two attempts of an
+	// on-time request. Its pause is the remaining time divided by attemptsOnTime.
 	ShortestPause  = 5 * time.Millisecond
 	LongestPause   = 20 * time.Millisecond
 	attemptsOnTime = 12
-	// OverduePause is the time between two questions of a late request for which
-	// nothing is known of the others.
+	// OverduePause is the time between two attempts of an overdue request without
+	// queue statistics.
 	OverduePause = 80 * time.Millisecond
-	// usualPause is the time between two questions of requests in time, in the mean:
-	// half way between the bounds.
-	usualPause = (ShortestPause + LongestPause) / 2
-	// attemptsPerSlot is how many questions the fleet asks for each place that comes
-	// free: fewer leave places unused for long, more take time of backends. At 8
-	// slots a backend and 5 questions a place, a place waits for a fortieth of the
-	// time for which a request holds it.
+	// meanPause is the assumed mean time between two attempts of on-time requests.
+	meanPause = (ShortestPause + LongestPause) / 2
+	// attemptsPerSlot is the target number of attempts in the fleet per freed slot.
+	// Fewer leave slots unused; more add load on the backends.
 	attemptsPerSlot = 5
-	// overdueShare is the part of the questions that late requests may ask while
-	// requests in time ask for all places: what is known of the others is a few
-	// hundred milliseconds old, and requests that count as in time may be gone.
+	// overdueShare is the share of all attempts that overdue requests make while
+	// on-time requests compete for all slots. It is above 0 because the statistics
+	// may be stale.
 	overdueShare = 0.02
 )
 
-// Request is one request that waits for a place.
+// Request is a request that waits for a slot.
 type Request struct {
-	// Remaining is the time until its objective, less what an answer takes from the place
-	// to its first output; none left means that it is late.
+	// Remaining is the time until the request's objective minus the first output
+	// time. The request is overdue if it is not positive.
 	Remaining time.Duration
 }
 
-// IsOverdue reports whether the request cannot be in time any more.
+// IsOverdue reports whether the request can no longer meet its objective.
 func (r Request) IsOverdue() bool { return r.Remaining <= 0 }
 
-// Pause returns how long a request waits from one question for a place to the next,
-// by what the whole fleet waits for. The sums are those of a moment ago: a request
-// looks at them again at least every OverduePause.
+// Pause returns the time from one attempt to get a slot to the next, given the queue
+// statistics of the fleet. Callers refresh the statistics at least every OverduePause.
 func Pause(request Request, fleet Stats) time.Duration {
 	if !request.IsOverdue() || fleet.FreedSlots <= 0 {
 		return PauseWithoutStats(request)
 	}
-	wanted := float64(attemptsPerSlot * fleet.FreedSlots)
-	others := float64(max(fleet.OnTime, 0)) / usualPause.Seconds()
-	late := max(wanted-others, (wanted+others)*overdueShare)
-	pause := time.Duration(float64(max(fleet.Overdue, 1)) / late * float64(time.Second))
+	target := float64(attemptsPerSlot * fleet.FreedSlots)
+	onTime := float64(max(fleet.OnTime, 0)) / meanPause.Seconds()
+	overdue := max(target-onTime, (target+onTime)*overdueShare)
+	pause := time.Duration(float64(max(fleet.Overdue, 1)) / overdue * float64(time.Second))
 	if fleet.OnTime > 0 {
 		return max(pause, OverduePause)
 	}
 	return max(pause, LongestPause)
 }
 
-// overloadShare is the part of an objective that requests in time wait for a place, in
-// the mean, from which on there is too little room for them: places go to any of them
-// alike, and at a sixth one in a hundred would get none within five sixths.
+// overloadShare is the mean wait of on-time requests, as a share of the objective,
+// above which a service is overloaded.
 const overloadShare = 1.0 / 6
 
-// MeanWait is how long a request in time waits for a place, in the mean: the requests that
-// wait by the places that come free. It is 0 while none is known to come free.
+// MeanWait returns the mean time that an on-time request waits for a slot: waiting
+// requests divided by freed slots per second. It is 0 if no slots were freed.
 func (s Stats) MeanWait() time.Duration { return s.drainTime(s.OnTime) }
 
-// DrainTime is how long all that wait would take, if nobody else came.
+// DrainTime returns the time until all waiting requests get a slot if no others arrive.
+// It is 0 if no slots were freed.
 func (s Stats) DrainTime() time.Duration { return s.drainTime(s.OnTime + s.Overdue) }
 
 func (s Stats) drainTime(count int) time.Duration {
@@ -100,16 +95,16 @@
 	return time.Duration(max(count, 0)) * time.Second / time.Duration(s.FreedSlots)
 }
 
-// minFreedSlots and minOnTime are how many places must have come free in the last second,
-// and how many requests must wait, for the wait to mean anything: with fewer, as at a
-// service of a few slots, one request more or less decides, and whoever waits a second
-// longer is served.
+// minFreedSlots and minOnTime are the minimum numbers of slots freed in the last second
+// and of waiting on-time requests to detect overload. With fewer, the mean wait is
+// too noisy.
 const (
 	minFreedSlots = 20
 	minOnTime     = 5
 )
 
-// IsOverloaded reports whether requests in time need all places that come free.
+// IsOverloaded reports whether the mean wait of on-time requests is too long for the
+// objective.
 func (s Stats) IsOverloaded(objective time.Duration) bool {
 	if s.FreedSlots < minFreedSlots || s.OnTime < minOnTime {
 		return false
@@ -117,7 +112,8 @@
 	return s.MeanWait() > time.Duration(float64(objective)*overloadShare)
 }
 
-// PauseWithoutStats is the same where nothing is known of the others, or may be used.
+// PauseWithoutStats returns the pause of a request if queue statistics are missing or
+// not used.
 func PauseWithoutStats(request Request) time.Duration {
 	if request.IsOverdue() {
 		return OverduePause
--- a/internal/slotqueue/slotqueue_test.go
+++ b/internal/slotqueue/slotqueue_test.go
@@ -11,68 +11,66 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// ages are how old what a request knows of the others may be.
+// ages are the ages of the queue statistics that are tested.
 var ages = []time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond}
 
-// TestTooLittleRoomGoesToThoseInTime: places come free at 0.6 to 0.9 of the demand for
-// four seconds. Nearly as many are in time as there are places, whatever the age of the
-// sums; nobody waits until its caller has left; and no more room is left unused than where
-// each asks by itself. By themselves 0.30, 0.52 and 0.82 are in time; in one order 0.62,
-// 0.75 and 0.90.
-func TestTooLittleRoomGoesToThoseInTime(t *testing.T) {
+// TestOverloadServesOnTimeRequests: during overload nearly all slots go to requests that
+// meet their objective, whatever the age of the statistics; no caller leaves without an
+// answer; and no more slots stay unused than with independent requests.
+func TestOverloadServesOnTimeRequests(t *testing.T) {
 	for _, ratio := range []float64{0.6, 0.75, 0.9} {
 		for _, age := range ages {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprint(ratio, age, seed), func(t *testing.T) {
-					standing, found := play(alone, ratio, age, seed), play(ordered, ratio, age, seed)
-					t.Log("alone", standing, "ordered", found)
+					baseline, found := simulate(independent, ratio, age, seed), simulate(coordinated, ratio, age, seed)
+					t.Log("independent", baseline, "coordinated", found)
 					require.Greater(t, found.share(), 0.92*ratio)
-					require.Greater(t, found.share(), standing.share())
+					require.Greater(t, found.share(), baseline.share())
 					require.Zero(t, found.lost)
-					require.LessOrEqual(t, found.unused, standing.unused+0.01)
+					require.LessOrEqual(t, found.unused, baseline.unused+0.01)
 				})
 			}
 		}
 	}
 }
 
-// TestEnoughRoomChangesNothing.
-func TestEnoughRoomChangesNothing(t *testing.T) {
+// TestSpareCapacityNeedsNoCoordination: without overload, coordinated requests fare like
+// independent ones.
+func TestSpareCapacityNeedsNoCoordination(t *testing.T) {
 	for _, age := range ages {
-		require.Equal(t, play(alone, 1.2, age, 1), play(ordered, 1.2, age, 1))
-		standing, found := play(alone, 1, age, 1), play(ordered, 1, age, 1)
-		require.GreaterOrEqual(t, found.share(), standing.share()-0.01)
-		require.Zero(t, found.lost+found.turnedAway)
+		require.Equal(t, simulate(independent, 1.2, age, 1), simulate(coordinated, 1.2, age, 1))
+		baseline, found := simulate(independent, 1, age, 1), simulate(coordinated, 1, age, 1)
+		require.GreaterOrEqual(t, found.share(), baseline.share()-0.01)
+		require.Zero(t, found.lost+found.rejected)
 	}
 }
 
-// TestLateNeverAsksMoreOften than a request in time, whatever is told of the fleet, even
-// sums that make no sense; and where nothing is known, requests ask as if alone.
-func TestLateNeverAsksMoreOften(t *testing.T) {
+// TestOverdueNeverRetriesMoreOften than an on-time request, whatever the statistics, even
+// invalid ones; without freed slots the pause is that without statistics.
+func TestOverdueNeverRetriesMoreOften(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.IntRange(-5, 5000)
 		fleet := slotqueue.Stats{OnTime: draw.Draw(t, "in time"), Overdue: draw.Draw(t, "late"), FreedSlots: draw.Draw(t, "freed")}
-		inTime := slotqueue.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
-		late := slotqueue.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
-		require.Equal(t, slotqueue.PauseWithoutStats(inTime), slotqueue.Pause(inTime, fleet))
-		require.GreaterOrEqual(t, slotqueue.Pause(late, fleet), slotqueue.Pause(inTime, fleet))
+		onTime := slotqueue.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
+		overdue := slotqueue.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
+		require.Equal(t, slotqueue.PauseWithoutStats(onTime), slotqueue.Pause(onTime, fleet))
+		require.GreaterOrEqual(t, slotqueue.Pause(overdue, fleet), slotqueue.Pause(onTime, fleet))
 		if fleet.FreedSlots <= 0 {
-			require.Equal(t, slotqueue.PauseWithoutStats(late), slotqueue.Pause(late, fleet))
+			require.Equal(t, slotqueue.PauseWithoutStats(overdue), slotqueue.Pause(overdue, fleet))
 			require.False(t, fleet.IsOverloaded(objective))
 		}
 	})
 }
 
-// TestLateTakesTheRoomThatNobodyInTimeWants: it asks at once as often as places come
-// free, and hardly ever while those in time ask for all.
-func TestLateTakesTheRoomThatNobodyInTimeWants(t *testing.T) {
-	late := slotqueue.Request{}
-	require.Equal(t, slotqueue.LongestPause, slotqueue.Pause(late, slotqueue.Stats{Overdue: 20, FreedSlots: 700}))
-	require.Greater(t, slotqueue.Pause(late, slotqueue.Stats{OnTime: 200, Overdue: 500, FreedSlots: 700}), time.Second)
+// TestOverdueUsesSpareSlots: overdue requests retry often while slots are left over, and
+// rarely while on-time requests compete for all slots.
+func TestOverdueUsesSpareSlots(t *testing.T) {
+	overdue := slotqueue.Request{}
+	require.Equal(t, slotqueue.LongestPause, slotqueue.Pause(overdue, slotqueue.Stats{Overdue: 20, FreedSlots: 700}))
+	require.Greater(t, slotqueue.Pause(overdue, slotqueue.Stats{OnTime: 200, Overdue: 500, FreedSlots: 700}), time.Second)
 }
 
-// TestRateCountsTheLastSecond.
-func TestRateCountsTheLastSecond(t *testing.T) {
+func TestRateCountsLastSecond(t *testing.T) {
 	var freed slotqueue.Rate
 	now := time.Unix(1000, 0)
 	for range 30 {
@@ -85,16 +83,16 @@
 	require.Equal(t, 1, freed.Count(now))
 }
 
-// TestLeadLeavesHalfOfTheObjective: answers that got slow make no request late at once.
-func TestLeadLeavesHalfOfTheObjective(t *testing.T) {
-	var lead slotqueue.FirstOutputTime
-	require.Zero(t, lead.Within(objective))
+// TestFirstOutputTimeIsAtMostHalfTheObjective: slow answers make no new request overdue.
+func TestFirstOutputTimeIsAtMostHalfTheObjective(t *testing.T) {
+	var firstOutput slotqueue.FirstOutputTime
+	require.Zero(t, firstOutput.Within(objective))
 	for range 50 {
-		lead.Add(60 * time.Millisecond)
+		firstOutput.Add(60 * time.Millisecond)
 	}
-	require.Equal(t, 60*time.Millisecond, lead.Within(objective))
+	require.Equal(t, 60*time.Millisecond, firstOutput.Within(objective))
 	for range 50 {
-		lead.Add(time.Minute)
+		firstOutput.Add(time.Minute)
 	}
-	require.Equal(t, objective/2, lead.Within(objective))
+	require.Equal(t, objective/2, firstOutput.Within(objective))
 }
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -1,12 +1,12 @@
 # Mechanisms of the order of waiting.
 mutant waiting_late_asks_as_before internal/slotqueue/slotqueue.go \
-	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestOverloadServesOnTimeRequests
 mutant waiting_no_late_share internal/slotqueue/slotqueue.go \
-	'late := max(wanted-others, (wanted+others)*overdueShare)' 'late := wanted + others' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
+	'overdue := max(target-onTime, (target+onTime)*overdueShare)' 'overdue := target + onTime' internal/slotqueue TestOverdueUsesSpareSlots
 mutant waiting_never_crowded internal/slotqueue/slotqueue.go \
-	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestOverloadServesOnTimeRequests
 mutant waiting_late_hurries internal/slotqueue/slotqueue.go \
-	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
+	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestOverdueUsesSpareSlots
 mutant waiting_alone internal/serving/await.go \
 	'pause := slotqueue.Pause(request, fleet)' 'pause := slotqueue.PauseWithoutStats(request)' internal/serving TestLateRequestMakesWay
 mutant waiting_queues_in_the_end internal/serving/await.go \
