--- a/internal/responsetimeout/responsetimeout.go
+++ b/internal/responsetimeout/responsetimeout.go
@@ -1,8 +1,7 @@
-// Package responsetimeout decides how long an attempt at a backend may stay silent before the
-// request is sent elsewhere. It learns what a service's answers take: silence is judged by
-// that, and a service that is slow everywhere raises it by itself. The load it answers:
-// plain work of 15 ms whose callers want it within 200 ms and wait for a second, at backends
-// that swallow requests because a zone is cut off.
+// Package responsetimeout computes how long an attempt at a backend may take to respond
+// before the request is retried at another backend. Callers report the response times of
+// successful attempts to Estimates; the timeouts follow a high quantile of them, so a
+// service that is slow at all backends gets longer timeouts.
 package responsetimeout
 
 import (
@@ -10,73 +9,70 @@
 	"time"
 )
 
-// Mode is how patience is found.
+// Mode is the way timeouts are computed.
 type Mode string
 
 // The modes.
 const (
-	// ModeLearned goes by a late quantile of what answers took.
+	// ModeLearned derives timeouts from a high quantile of observed response times.
 	ModeLearned Mode = "learned"
-	// ModeFixed goes by a fixed part of the objective.
+	// ModeFixed uses a fixed fraction of the objective, or the objective for streams.
 	ModeFixed Mode = "fixed"
-	// ModeObjectives waits for several objectives.
+	// ModeObjectives uses a multiple of the objective, without early timeouts.
 	ModeObjectives Mode = "objectives"
 )
 
-// IsValid reports whether the mode is known.
+// IsValid reports whether the mode is one of the above.
 func (m Mode) IsValid() bool { return m == ModeLearned || m == ModeFixed || m == ModeObjectives }
 
-// Kind is what is waited for.
+// Kind is the part of a response that a timeout applies to.
 type Kind uint8
 
 // The kinds.
 const (
-	// KindComplete is an answer that is passed on whole.
+	// KindComplete is a complete response.
 	KindComplete Kind = iota
-	// KindFirstEvent is the first event of a stream. Its time depends on the prompt and
-	// on what else the backend reads, far more than that of plain work.
+	// KindFirstEvent is the first event of a stream. Its time depends on the length of
+	// the prompt and on the other prompts that the backend processes.
 	KindFirstEvent
 )
 
 const (
-	// completeObjectives and eventPatience are the longest patience, in objectives: what is
-	// later than that is late whoever answers.
+	// completeObjectives and firstEventObjectives are the longest timeouts, in objectives.
 	completeObjectives   = 3
 	firstEventObjectives = 4
-	// fixedPart is the patience of ModeFixed, and until enough is learned, as one in so
-	// many parts of the objective: the other half is left to another backend.
-	fixedPart = 2
-	// floorPart is the shortest patience in the same way: a delay of the network and of a
-	// busy daemon, 25 ms of 200, says nothing of a backend.
-	floorPart = 8
-	// lateQuantile is the quantile of learned times, and margin what silence must last
-	// beyond it: of a hundred answers one is later than the quantile, and few of those
-	// later than half as long again.
-	lateQuantile = 0.99
-	margin       = 1.5
-	// leastSamples is how many answers must be known; of fewer than a hundred the longest
-	// stands for the quantile. A daemon of a large fleet answers three plain requests of a
-	// service a second: with a hundred nothing was learned for half a minute.
-	leastSamples = 25
+	// fixedDivisor gives the timeout of ModeFixed, and of ModeLearned with too few samples:
+	// the objective divided by it. The rest is left for another backend.
+	fixedDivisor = 2
+	// floorDivisor gives the shortest timeout: the objective divided by it. Shorter
+	// delays can come from the network or from a busy daemon.
+	floorDivisor = 8
+	// The learned timeout is the quantile timeoutQuantile of the response times,
+	// multiplied by timeoutFactor.
+	timeoutQuantile = 0.99
+	timeoutFactor   = 1.5
+	// minSamples is the minimum number of response times to compute a quantile from.
+	minSamples = 25
 )
 
-// Timeouts is how long one attempt may stay silent.
+// Timeouts holds the response timeouts of one attempt.
 type Timeouts struct {
-	// Early is after how long the request goes elsewhere if the budget allows.
+	// Early is the timeout if the retry budget allows another attempt.
 	Early time.Duration
-	// Latest is after how long it goes elsewhere in any case.
+	// Latest is the timeout regardless of the budget.
 	Latest time.Duration
-	// Learned is the quantile on which Early rests, 0 if too little is known.
+	// Learned is the quantile that Early is derived from, 0 if there are too few samples.
 	Learned time.Duration
 }
 
-// key names what is learned together.
+// key identifies one histogram of response times.
 type key struct {
 	service string
 	kind    Kind
 }
 
-// Estimates learns the times of services. It is safe for concurrent use; mutex guards times.
+// Estimates holds the response times of services by kind. It is safe for concurrent use;
+// mutex guards times.
 type Estimates struct {
 	mode Mode
 
@@ -84,68 +80,68 @@
 	times map[key]*times
 }
 
-// NewEstimates returns a book in which nothing is learned yet.
+// NewEstimates returns estimates without samples.
 func NewEstimates(mode Mode) *Estimates { return &Estimates{mode: mode, times: map[key]*times{}} }
 
-// PrefersOtherZones reports whether a request that leaves a silent backend prefers other zones.
-// Without early ends there is no time left for a choice among few backends.
-func (b *Estimates) PrefersOtherZones() bool { return b.mode != ModeObjectives }
+// PrefersOtherZones reports whether a request prefers other zones after a response
+// timeout. It does not without early timeouts, since too little time remains.
+func (e *Estimates) PrefersOtherZones() bool { return e.mode != ModeObjectives }
 
-// Observe notes what a good answer took. Attempts that were broken off as silent are not
-// noted: the budget of early ends leaves most attempts of a service that is slow everywhere
-// to their end, and those tell.
-func (b *Estimates) Observe(service string, kind Kind, took time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// Observe records the response time of a successful attempt. Attempts that timed out are
+// not recorded: the budget of early timeouts lets most attempts at a slow service
+// complete, and these give its response times.
+func (e *Estimates) Observe(service string, kind Kind, elapsed time.Duration) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	name := key{service: service, kind: kind}
-	learned := b.times[name]
-	if learned == nil {
-		learned = &times{}
-		b.times[name] = learned
+	known := e.times[name]
+	if known == nil {
+		known = &times{}
+		e.times[name] = known
 	}
-	learned.add(took)
+	known.add(elapsed)
 }
 
-// For returns the patience with an attempt for a service.
-func (b *Estimates) For(service string, kind Kind, objective time.Duration) Timeouts {
+// For returns the timeouts of an attempt for a service.
+func (e *Estimates) For(service string, kind Kind, objective time.Duration) Timeouts {
 	latest := completeObjectives * objective
 	if kind == KindFirstEvent {
 		latest = firstEventObjectives * objective
 	}
-	learned := b.learned(service, kind)
-	return Timeouts{Early: b.early(kind, objective, learned, latest), Latest: latest, Learned: learned}
+	learned := e.learned(service, kind)
+	return Timeouts{Early: e.early(kind, objective, learned, latest), Latest: latest, Learned: learned}
 }
 
-// early returns the patience while the budget lasts.
-func (b *Estimates) early(kind Kind, objective, learned, latest time.Duration) time.Duration {
+// early returns the timeout that applies while the budget allows retries.
+func (e *Estimates) early(kind Kind, objective, learned, latest time.Duration) time.Duration {
 	switch {
-	case b.mode == ModeObjectives:
+	case e.mode == ModeObjectives:
 		return latest
-	case b.mode == ModeFixed && kind == KindComplete:
-		return objective / fixedPart
-	case b.mode == ModeFixed:
+	case e.mode == ModeFixed && kind == KindComplete:
+		return objective / fixedDivisor
+	case e.mode == ModeFixed:
 		return objective
 	case learned == 0 && kind == KindFirstEvent:
 		return latest
 	case learned == 0:
-		return objective / fixedPart
+		return objective / fixedDivisor
 	}
-	shortest := objective / floorPart
+	shortest := objective / floorDivisor
 	if kind == KindFirstEvent {
-		// A backend at work on a long prompt is silent too, and its work is lost with
-		// the attempt: nothing is broken off before it is late.
+		// A backend that processes a long prompt sends nothing, and a timeout discards
+		// that work. A stream does not time out before its objective.
 		shortest = objective
 	}
-	return min(max(time.Duration(margin*float64(learned)), shortest), latest)
+	return min(max(time.Duration(timeoutFactor*float64(learned)), shortest), latest)
 }
 
-// learned returns the late quantile, 0 if too little is known.
-func (b *Estimates) learned(service string, kind Kind) time.Duration {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known := b.times[key{service: service, kind: kind}]
-	if known == nil || known.total < leastSamples {
+// learned returns the quantile timeoutQuantile, 0 if there are too few samples.
+func (e *Estimates) learned(service string, kind Kind) time.Duration {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	known := e.times[key{service: service, kind: kind}]
+	if known == nil || known.total < minSamples {
 		return 0
 	}
-	return known.quantile(lateQuantile)
+	return known.quantile(timeoutQuantile)
 }
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -18,11 +18,11 @@
 mutant silent_zone_asked_again internal/serving/exchange.go \
 	'e.avoidZone(e.last.Zone)' '_ = 0' internal/serving TestZoneOfASilentBackendIsLeft
 mutant nothing_learned internal/responsetimeout/responsetimeout.go \
-	'learned.add(took)' '_ = took' internal/responsetimeout TestQuickServicesAreLeftSoon
+	'known.add(elapsed)' '_ = elapsed' internal/responsetimeout TestFastServiceHasShortTimeout
 mutant stream_left_before_it_is_late internal/responsetimeout/responsetimeout.go \
 	'shortest = objective
-' 'shortest = objective / floorPart
-' internal/responsetimeout TestStreamsAreNotLeftBeforeTheyAreLate
+' 'shortest = objective / floorDivisor
+' internal/responsetimeout TestStreamTimeoutIsAtLeastObjective
 mutant left_early_in_vain internal/watchdog/watchdog.go \
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
