--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,6 +1,6 @@
-// Package duty decides by rendezvous hashing which live daemon holds a duty.
-// Duties are advisory: two daemons that both believe they hold one waste work
-// and break nothing.
+// Package duty assigns duties to live daemons by rendezvous hashing. Assignments
+// are advisory: daemons with different member lists may perform a duty twice, which
+// must be harmless.
 package duty
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the candidate with the highest weight for the key, or "" when
-// there are none. When candidates come or go, only the keys of those
-// candidates move.
+// Owner returns the candidate with the highest weight for the key, or "" if
+// there are none. A change of the candidates moves only keys of the candidates that
+// were added or removed.
 func Owner(key string, candidates []string) string {
 	owner, best := "", uint64(0)
 	for _, candidate := range candidates {
@@ -49,7 +49,7 @@
 
 func weightOf(key, candidate string) uint64 { return xxhash.Sum64String(key + "\x00" + candidate) }
 
-// Rank returns the place, from 0, that a name has among the candidates in the
+// Rank returns the position of a name, from 0, among the candidates in descending
 // order of their weights for the key.
 func Rank(key, name string, candidates []string) int {
 	own := weightOf(key, name)
