--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,9 +14,9 @@
 
 var start = time.Unix(1000, 0)
 
-// TestWindowIsZeroAboveTheGuard and never exceeds its maximum, whatever
-// reports and hints come.
-func TestWindowIsZeroAboveTheGuard(t *testing.T) {
+// TestWindowIsZeroAboveGuard and never exceeds its maximum, whatever the reports
+// and hints.
+func TestWindowIsZeroAboveGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum, guard := rapid.IntRange(0, 64).Draw(t, "maximum"), rapid.IntRange(0, 16).Draw(t, "guard")
 		window := admission.NewBatchWindow(maximum, guard)
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestWindowFillsIdleSeconds(t *testing.T) {
+func TestWindowGrowsWhileIdle(t *testing.T) {
 	window := admission.NewBatchWindow(16, 4)
 	size := 0
 	for step := range 20 {
@@ -50,13 +50,13 @@
 	require.Zero(t, window.Size())
 }
 
-func limiter(maximum int, patience time.Duration) *admission.Limiter {
-	return admission.NewLimiter(admission.LimiterConfig{Minimum: 1, Maximum: maximum, QueueTimeout: patience, SlowAfter: time.Second})
+func limiter(maximum int, queueTimeout time.Duration) *admission.Limiter {
+	return admission.NewLimiter(admission.LimiterConfig{Minimum: 1, Maximum: maximum, QueueTimeout: queueTimeout, SlowAfter: time.Second})
 }
 
-// TestLimiterNeverExceedsItsLimit: whatever order requests come and go, no more
-// are in flight than the maximum, and every admitted one can be released.
-func TestLimiterNeverExceedsItsLimit(t *testing.T) {
+// TestLimiterNeverExceedsMaximum: in any order of arrivals and releases, no more
+// requests are in flight than the maximum.
+func TestLimiterNeverExceedsMaximum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := rapid.IntRange(1, 10).Draw(t, "maximum")
 		limited := limiter(maximum, 0)
@@ -88,24 +88,24 @@
 func TestLimiterFallsWhenSlowAndRecovers(t *testing.T) {
 	limited := limiter(100, 0)
 	at := start
-	pass := func(first time.Duration) {
+	serve := func(first time.Duration) {
 		at = at.Add(300 * time.Millisecond)
 		require.NoError(t, limited.Acquire(context.Background(), at, at.Add(time.Second)))
 		limited.Release(at, first, first, false)
 	}
 	for range 20 {
-		pass(5 * time.Second)
+		serve(5 * time.Second)
 	}
 	slow, _, _ := limited.State()
 	require.Less(t, slow, 20)
 	for range 2000 {
-		pass(time.Millisecond)
+		serve(time.Millisecond)
 	}
 	recovered, _, _ := limited.State()
 	require.Greater(t, recovered, 2*slow)
 }
 
-func TestQueuedRequestIsAdmittedWhenRoomComes(t *testing.T) {
+func TestQueuedRequestIsAdmittedAfterRelease(t *testing.T) {
 	limited := limiter(1, time.Minute)
 	now := time.Now()
 	require.NoError(t, limited.Acquire(context.Background(), now, now.Add(time.Hour)))
@@ -116,7 +116,7 @@
 	require.NoError(t, <-admitted)
 }
 
-func TestTenantIsHeldToItsConcurrency(t *testing.T) {
+func TestTenantConcurrencyIsLimited(t *testing.T) {
 	tenants := admission.NewConcurrency()
 	require.NoError(t, tenants.Acquire("a", 2))
 	require.NoError(t, tenants.Acquire("a", 2))
@@ -124,14 +124,14 @@
 	require.Equal(t, "tenant_concurrency", err.Code)
 	require.True(t, err.NotRun)
 	require.Positive(t, err.RetryAfter)
-	require.NoError(t, tenants.Acquire("b", 2), "another tenant is not concerned")
+	require.NoError(t, tenants.Acquire("b", 2), "limits are per tenant")
 	tenants.Release("a")
 	require.NoError(t, tenants.Acquire("a", 2))
 	require.Error(t, tenants.Acquire("a", 2))
-	require.NoError(t, tenants.Acquire("a", 0), "no bound")
+	require.NoError(t, tenants.Acquire("a", 0), "no limit")
 }
 
-func TestRetryBudgetBoundsRetries(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	budget := admission.NewRetryBudget(0.2, 10)
 	retries := 0
 	for range 1000 {
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -7,35 +7,33 @@
 	"topazpulley/internal/failure"
 )
 
-// retryAfterConcurrency is the advice to a tenant with too many requests in
-// flight: about the time of a short answer.
-const retryAfterConcurrency = time.Second
+// concurrencyRetryAfter is the retry delay returned to a tenant at its limit.
+const concurrencyRetryAfter = time.Second
 
-// Concurrency bounds the requests of each tenant that are in flight at this
-// daemon. mutex guards inFlight.
+// Concurrency limits the requests of each tenant in flight at this daemon. mutex guards inFlight.
 type Concurrency struct {
 	mutex    sync.Mutex
 	inFlight map[string]int
 }
 
-// NewConcurrency returns bounds without any request in flight.
+// NewConcurrency returns a Concurrency without requests in flight.
 func NewConcurrency() *Concurrency { return &Concurrency{inFlight: map[string]int{}} }
 
-// Acquire admits one request of a tenant or refuses it at once; a limit of 0
-// means no bound. After a nil return the caller must call Release.
+// Acquire admits a request of a tenant or rejects it immediately. A limit of 0
+// means no limit. After a nil return the caller must call Release.
 func (c *Concurrency) Acquire(tenant string, limit int) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	present := c.inFlight[tenant]
-	if limit > 0 && present >= limit {
+	current := c.inFlight[tenant]
+	if limit > 0 && current >= limit {
 		return failure.New(failure.KindOverloaded, "tenant_concurrency",
-			"the tenant has %d requests in flight, its limit: wait for one to end", present).WithNotRun().WithRetryAfter(retryAfterConcurrency)
+			"the tenant has %d requests in flight, which is its limit: retry after one has finished", current).WithNotRun().WithRetryAfter(concurrencyRetryAfter)
 	}
-	c.inFlight[tenant] = present + 1
+	c.inFlight[tenant] = current + 1
 	return nil
 }
 
-// Release ends a request of a tenant.
+// Release records the end of an admitted request.
 func (c *Concurrency) Release(tenant string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,6 @@
-// Package admission bounds the work that is let in: tenants' rates and
-// concurrency, an adaptive limit with a short deadline-aware queue per service,
-// retry budgets, and the batch window of an engine. What does not fit is
-// refused at once with the time after which to come back.
+// Package admission limits the work that is admitted: a concurrency limit per tenant,
+// an adaptive limit with a short deadline-aware queue per service, retry budgets, and
+// the batch window of an engine. Requests over a limit are rejected with a retry delay.
 package admission
 
 import (
@@ -18,46 +17,52 @@
 	// Minimum and Maximum bound the adaptive limit.
 	Minimum int
 	Maximum int
-	// QueueTimeout bounds the wait for admission.
+	// QueueTimeout is the maximum time in the queue.
 	QueueTimeout time.Duration
-	// SlowAfter is the time to the first token above which the service counts
-	// as overloaded.
+	// SlowAfter is the time to the first token above which the limit decreases.
 	SlowAfter time.Duration
 }
 
 const (
+	// decreaseFactor is the factor of one decrease, decreaseInterval the minimum time
+	// between two.
 	decreaseFactor   = 0.85
 	decreaseInterval = 200 * time.Millisecond
-	queuePerSlot     = 1
-	drainSmoothing   = 0.1
-	minRetryAfter    = time.Second
-	maxRetryAfter    = 30 * time.Second
+	// queuePerSlot is the maximum queue length per unit of the limit.
+	queuePerSlot = 1
+	// serviceTimeWeight is the weight of the newest sample in the average service time.
+	serviceTimeWeight = 0.1
+	// minRetryAfter and maxRetryAfter bound the retry delay of rejected requests.
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
 )
 
-// Limiter admits online requests of one service: additive increase while
-// answers are quick, multiplicative decrease when they are slow or refused.
-// mutex guards all fields.
+// Limiter limits the online requests of one service in flight. The limit follows
+// additive increase and multiplicative decrease: it grows with each fast response and
+// shrinks when responses are slow or engines reject requests. mutex guards all fields.
 type Limiter struct {
-	mutex        sync.Mutex
-	config       LimiterConfig
-	limit        float64
-	inFlight     int
-	queue        *list.List
+	mutex    sync.Mutex
+	config   LimiterConfig
+	limit    float64
+	inFlight int
+	queue    *list.List
+	// serviceTime is a moving average in seconds.
 	serviceTime  float64
 	lastDecrease time.Time
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request. admitted is closed on admission.
 type waiter struct {
 	admitted chan struct{}
 }
 
-// NewLimiter returns a limiter at its maximum.
+// NewLimiter returns a limiter with the limit at config.Maximum.
 func NewLimiter(config LimiterConfig) *Limiter {
 	return &Limiter{config: config, limit: float64(config.Maximum), queue: list.New()}
 }
 
-// Configure changes the parameters; a raised maximum raises the limit too.
+// Configure changes the parameters. An increase of the maximum increases the limit by
+// the same amount.
 func (l *Limiter) Configure(config LimiterConfig) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,8 +78,8 @@
 	l.limit = max(min(l.limit, float64(l.config.Maximum)), float64(l.config.Minimum))
 }
 
-// Acquire admits the caller, queues it briefly, or refuses it. The deadline is
-// that of the request.
+// Acquire admits a request, queues it until the queue timeout or its deadline, or
+// rejects it. After a nil return the caller must call Release.
 func (l *Limiter) Acquire(ctx context.Context, now, deadline time.Time) error {
 	l.mutex.Lock()
 	if l.inFlight < int(l.limit) && l.queue.Len() == 0 {
@@ -82,22 +87,22 @@
 		l.mutex.Unlock()
 		return nil
 	}
-	patience := min(l.config.QueueTimeout, deadline.Sub(now))
-	if l.queue.Len() >= int(l.limit)*queuePerSlot || l.expectedWait() > patience {
+	timeout := min(l.config.QueueTimeout, deadline.Sub(now))
+	if l.queue.Len() >= int(l.limit)*queuePerSlot || l.expectedWait() > timeout {
 		defer l.mutex.Unlock()
-		return l.refusal()
+		return l.rejection()
 	}
-	waiting := &waiter{admitted: make(chan struct{})}
-	element := l.queue.PushBack(waiting)
+	queued := &waiter{admitted: make(chan struct{})}
+	element := l.queue.PushBack(queued)
 	l.mutex.Unlock()
-	return l.wait(ctx, element, waiting, patience)
+	return l.wait(ctx, element, queued, timeout)
 }
 
-func (l *Limiter) wait(ctx context.Context, element *list.Element, waiting *waiter, patience time.Duration) error {
-	timer := time.NewTimer(patience)
+func (l *Limiter) wait(ctx context.Context, element *list.Element, queued *waiter, timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-waiting.admitted:
+	case <-queued.admitted:
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
@@ -105,16 +110,16 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	select {
-	case <-waiting.admitted:
+	case <-queued.admitted:
 		return nil
 	default:
 	}
 	l.queue.Remove(element)
-	return l.refusal()
+	return l.rejection()
 }
 
-// expectedWait estimates the time until a newcomer at the end of the queue is
-// admitted. mutex is held.
+// expectedWait estimates the time until a new request at the end of the queue is
+// admitted. The caller holds mutex.
 func (l *Limiter) expectedWait() time.Duration {
 	if l.limit < 1 {
 		return l.config.QueueTimeout
@@ -122,22 +127,22 @@
 	return time.Duration(l.serviceTime * float64(l.queue.Len()+1) / l.limit * float64(time.Second))
 }
 
-// refusal makes the final answer for a request that is not let in. mutex is
-// held.
-func (l *Limiter) refusal() *failure.Error {
+// rejection returns the error for a request that is not admitted. The caller holds
+// mutex.
+func (l *Limiter) rejection() *failure.Error {
 	after := min(max(l.expectedWait(), minRetryAfter), maxRetryAfter)
 	return failure.New(failure.KindOverloaded, "service_overloaded", "the service is at its limit: try again later").WithNotRun().WithRetryAfter(after)
 }
 
-// Release ends an admitted request. firstToken is the time to its first token
-// and total its whole time; overloaded tells that engines refused it for lack
-// of room.
-func (l *Limiter) Release(now time.Time, firstToken, total time.Duration, overloaded bool) {
+// Release records the end of an admitted request. firstToken is its time to the first
+// token and total its duration. isOverloaded means that engines rejected it for lack of
+// capacity.
+func (l *Limiter) Release(now time.Time, firstToken, total time.Duration, isOverloaded bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.inFlight--
-	l.serviceTime += drainSmoothing * (total.Seconds() - l.serviceTime)
-	if overloaded || firstToken > l.config.SlowAfter {
+	l.serviceTime += serviceTimeWeight * (total.Seconds() - l.serviceTime)
+	if isOverloaded || firstToken > l.config.SlowAfter {
 		l.decrease(now)
 	} else {
 		l.limit += 1 / max(l.limit, 1)
@@ -162,7 +167,7 @@
 	}
 }
 
-// State returns the present limit, the requests in flight and those queued.
+// State returns the current limit and the numbers of requests in flight and queued.
 func (l *Limiter) State() (limit, inFlight, queued int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -83,7 +83,7 @@
 mutant no_wave_bound internal/rollout/rollout.go \
 	'min(free, len(candidates))' 'max(free, len(candidates))' internal/rollout TestWaveKeepsTheBound
 mutant no_guard internal/admission/window.go \
-	'if pressure > w.guard {' 'if false {' internal/admission TestWindowIsZeroAboveTheGuard
+	'if onlineLoad > w.guard {' 'if false {' internal/admission TestWindowIsZeroAboveGuard
 mutant no_seeds_after_start internal/membership/probe.go \
 	'if !live[seed] {' 'if len(live) < 2 {' internal/membership/simulation TestGroupsThatNeverMetFindTogether
 mutant weak_digest internal/membership/member.go \
