--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,9 +1,11 @@
-// Package exchange tells the daemons of a fleet what each has in flight at the
-// backends, so that all choose from nearly the same picture. In a small fleet
-// every daemon tells all others. In a large one each tells two relays of its
-// zone, which send every daemon the sum of all others' work; relays of the
-// zones tell each other their totals. Messages are hints: a lost one is made
-// good by the next.
+// Package exchange distributes the load of each daemon to the other daemons: its
+// requests in flight by backend, its waiting batch items and its queue statistics. It
+// also distributes prompt reads, backend failures and preemptions. In a small fleet every
+// daemon sends to all others. In a large fleet each daemon sends to two relays of its
+// zone; a relay sends every daemon of the zone the total of all other daemons, and
+// relays of different zones exchange the totals of their zones. A daemon that uses only a
+// section of the backends sends to its neighbors instead. Delivery is best effort: the
+// next message replaces a lost one.
 package exchange
 
 import (
@@ -21,80 +23,79 @@
 	"topazpulley/internal/topology"
 )
 
-// Keys of the hints, before the name of the daemon or zone that they tell of.
+// Prefixes of the hint keys; the name of the sending daemon or zone follows.
 const (
 	keyMember = "lives-load/"
 	keyZone   = "zone-lives-load/"
 	keyOthers = "others-lives-load/"
-	// keyPreempt stands before the id of a backend at which one item should
-	// give way.
+	// keyPreempt is followed by the id of the backend at which to preempt a batch item.
 	keyPreempt = "preempt/"
 )
 
 const (
-	// sendInterval is the shortest time between two messages, and perMember the
-	// time that each further member adds while all are told directly.
-	sendInterval = 100 * time.Millisecond
-	perMember    = 10 * time.Millisecond
-	// urgentPause is the shortest time between two urgent messages.
-	urgentPause = 10 * time.Millisecond
+	// sendInterval is the minimum time between two periodic messages. Without relays
+	// the interval is at least intervalPerMember times the number of recipients.
+	sendInterval      = 100 * time.Millisecond
+	intervalPerMember = 10 * time.Millisecond
+	// publishPause is the minimum time between two messages sent on a publish signal.
+	publishPause = 10 * time.Millisecond
 	// zoneInterval is the time between two totals for other zones.
 	zoneInterval = 200 * time.Millisecond
-	// refreshInterval is the longest time between two messages of a daemon
-	// that has work in flight.
+	// refreshInterval is the time after which unchanged loads are sent again.
 	refreshInterval = 500 * time.Millisecond
-	// forgetAfter is when the loads of a silent daemon count no more.
-	forgetAfter = 1500 * time.Millisecond
-	// audienceAge is how long the list of those who are told is used.
-	audienceAge = 300 * time.Millisecond
+	// loadTimeout is the time after which loads that were not refreshed are dropped.
+	loadTimeout = 1500 * time.Millisecond
+	// recipientsMaxAge is how long computed recipients are used without a check for
+	// changes.
+	recipientsMaxAge = 300 * time.Millisecond
 )
 
-// othersOfFleet is the name under which the sum that a relay told is kept.
-const othersOfFleet = "fleet"
+// fleetName is the peer name under which the total received from a relay is stored.
+const fleetName = "fleet"
 
-// Exchange sends this daemon's loads and receives the others'. The fields
-// before mutex belong to the goroutine of Run; mutex guards those behind it.
+// Exchange sends this daemon's loads and receives those of other daemons. The fields
+// before mutex are used by the goroutine of Run only; mutex guards the fields after it.
 type Exchange struct {
 	node     *cluster.Node
 	backends *backend.Set
 	log      *slog.Logger
 	self     membership.Member
-	// directLimit is the largest fleet in which all are told directly.
+	// directLimit is the largest fleet without relays.
 	directLimit int
-	// Section returns how much of the ring of backends this daemon knows, and whether
-	// that is not all. It is set before Run.
-	Section func() (width float64, isPart bool)
+	// Section returns the share of the ring of backends that this daemon uses, and
+	// whether it is only a part. It must be set before Run.
+	Section func() (width float64, isPartial bool)
 
-	last     loads
+	last     loadSet
 	sentAt   time.Time
 	zoneAt   time.Time
 	othersAt time.Time
 
-	mutex      sync.Mutex
-	heard      map[string]time.Time
-	relay      *relay
-	random     *rand.Rand
-	audience   audience
-	audienceAt time.Time
-	// basis is what the audience was worked out from.
-	basis audienceBasis
+	mutex        sync.Mutex
+	receivedAt   map[string]time.Time
+	relay        *relay
+	random       *rand.Rand
+	recipients   recipients
+	recipientsAt time.Time
+	// input is what recipients were computed from.
+	input recipientsInput
 }
 
-// audienceBasis is what an audience depends on: the members, by their generation, and the
-// section.
-type audienceBasis struct {
+// recipientsInput identifies the input of recipientsOf: the generation of the member
+// list and the section.
+type recipientsInput struct {
 	generation uint64
 	section    section
 }
 
-// New returns an exchange. It subscribes to the node, which must not run yet.
+// New returns an exchange and subscribes it to the node, which must not run yet.
 func New(node *cluster.Node, backends *backend.Set, log *slog.Logger) *Exchange {
-	made := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: topology.FullMeshLimit, Section: func() (float64, bool) { return 1, false }, heard: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
-	node.Subscribe(made.receive)
-	return made
+	e := &Exchange{node: node, backends: backends, log: log, self: node.Self(), directLimit: topology.FullMeshLimit, Section: func() (float64, bool) { return 1, false }, receivedAt: map[string]time.Time{}, relay: newRelay(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	node.Subscribe(e.receive)
+	return e
 }
 
-// Run sends loads until the context ends.
+// Run sends loads and preemptions until the context is canceled.
 func (e *Exchange) Run(ctx context.Context) {
 	ticker := time.NewTicker(sendInterval)
 	defer ticker.Stop()
@@ -103,8 +104,8 @@
 		case <-ctx.Done():
 			return
 		case <-e.backends.PublishSignal():
-			e.send(time.Now(), e.currentAudience(time.Now()))
-			periodic.Sleep(ctx, urgentPause)
+			e.send(time.Now(), e.currentRecipients(time.Now()))
+			periodic.Sleep(ctx, publishPause)
 		case id := <-e.backends.Preemptions():
 			e.preempt(id)
 		case now := <-ticker.C:
@@ -114,83 +115,85 @@
 }
 
 func (e *Exchange) tick(now time.Time) {
-	audience := e.currentAudience(now)
-	if now.Sub(e.sentAt) >= audience.interval()-sendInterval/2 {
-		e.send(now, audience)
+	recipients := e.currentRecipients(now)
+	if now.Sub(e.sentAt) >= recipients.interval()-sendInterval/2 {
+		e.send(now, recipients)
 	}
-	e.forget(now)
-	if audience.isRelay(e.self.Name) {
-		e.relayQueueStats(now, audience)
+	e.expire(now)
+	if recipients.isRelay(e.self.Name) {
+		e.relayLoads(now, recipients)
 	}
 }
 
-// currentAudience returns whom to tell, worked out anew now and then.
-func (e *Exchange) currentAudience(now time.Time) audience {
+// currentRecipients returns the recipients, which it recomputes when the members or the
+// section have changed.
+func (e *Exchange) currentRecipients(now time.Time) recipients {
 	e.mutex.Lock()
-	isFresh := now.Sub(e.audienceAt) < audienceAge
-	known, knownBasis := e.audience, e.basis
+	isFresh := now.Sub(e.recipientsAt) < recipientsMaxAge
+	known, knownInput := e.recipients, e.input
 	e.mutex.Unlock()
 	if isFresh {
 		return known
 	}
-	basis := audienceBasis{generation: e.node.Generation()}
-	basis.section.width, basis.section.isPart = e.Section()
-	if basis == knownBasis {
+	input := recipientsInput{generation: e.node.Generation()}
+	input.section.width, input.section.isPartial = e.Section()
+	if input == knownInput {
 		return known
 	}
-	found := audienceOf(e.self, e.node.Members(), e.directLimit, basis.section)
+	found := recipientsOf(e.self, e.node.Members(), e.directLimit, input.section)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.audience, e.audienceAt, e.basis = found, now, basis
+	e.recipients, e.recipientsAt, e.input = found, now, input
 	e.backends.SetPropagation(found.propagation())
 	return found
 }
 
-// interval is the time between two messages at the present size of the fleet.
-func (a audience) interval() time.Duration {
-	return max(sendInterval, time.Duration(len(a.members))*perMember)
+// interval returns the time between two periodic messages.
+func (r recipients) interval() time.Duration {
+	return max(sendInterval, time.Duration(len(r.members))*intervalPerMember)
 }
 
-// propagation is the time until all daemons know of a change.
-func (a audience) propagation() time.Duration {
-	if a.isRelayed {
-		return 2 * sendInterval // to the relay, and from it
+// propagation returns the time until a change has reached all recipients.
+func (r recipients) propagation() time.Duration {
+	if r.isRelayed {
+		return 2 * sendInterval // to the relay and from the relay
 	}
-	return a.interval()
+	return r.interval()
 }
 
-// send tells this daemon's own loads and news.
-func (e *Exchange) send(now time.Time, audience audience) {
-	work := loads{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), queueStats: e.backends.OwnQueueStats(now)}
-	told := news{reads: e.backends.TakePromptReads(), failures: e.backends.TakeUnsentFailures()}
-	isSame := work.equal(e.last) && told.isEmpty()
-	if isSame && (work.isEmpty() || now.Sub(e.sentAt) < max(refreshInterval, audience.interval())) {
+// send sends this daemon's loads and events unless nothing has changed since the last
+// message.
+func (e *Exchange) send(now time.Time, recipients recipients) {
+	loads := loadSet{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), queueStats: e.backends.OwnQueueStats(now)}
+	events := eventSet{reads: e.backends.TakePromptReads(), failures: e.backends.TakeUnsentFailures()}
+	isSame := loads.equal(e.last) && events.isEmpty()
+	if isSame && (loads.isEmpty() || now.Sub(e.sentAt) < max(refreshInterval, recipients.interval())) {
 		return
 	}
-	e.last, e.sentAt = work, now
-	if !audience.isRelayed {
-		e.tell(audience.members, keyMember+e.self.Name, work, told, now)
+	e.last, e.sentAt = loads, now
+	if !recipients.isRelayed {
+		e.sendTo(recipients.members, keyMember+e.self.Name, loads, events, now)
 		return
 	}
-	for rank, name := range audience.relays {
-		// News are told to one relay only, so that none is counted twice.
-		passed := told
+	for rank, name := range recipients.relays {
+		// Events are sent to one relay only, so that none is counted twice.
+		forRelay := events
 		if rank > 0 {
-			passed = news{}
+			forRelay = eventSet{}
 		}
 		if name == e.self.Name {
 			e.mutex.Lock()
-			e.relay.noteMember(name, work, passed, now)
+			e.relay.setMember(name, loads, forRelay, now)
 			e.mutex.Unlock()
 			continue
 		}
-		e.tell([]string{name}, keyMember+e.self.Name, work, passed, now)
+		e.sendTo([]string{name}, keyMember+e.self.Name, loads, forRelay, now)
 	}
 }
 
-// tell sends one message to members by name.
-func (e *Exchange) tell(names []string, key string, work loads, told news, now time.Time) {
-	payload, err := encode(work, told)
+// sendTo sends one message to the members with these names.
+func (e *Exchange) sendTo(names []string, key string, loads loadSet, events eventSet, now time.Time) {
+	payload, err := encode(loads, events)
 	if err != nil {
 		e.log.Error("load_not_encoded", "error", err)
 		return
@@ -201,44 +204,44 @@
 	}
 }
 
-// relayQueueStats tells every daemon of the zone the work of all others, and the
-// other zones the total of this one.
-func (e *Exchange) relayQueueStats(now time.Time, audience audience) {
+// relayLoads sends every daemon of the zone the total of all other daemons, and the
+// relays of other zones the total of this zone.
+func (e *Exchange) relayLoads(now time.Time, recipients recipients) {
 	if now.Sub(e.othersAt) < sendInterval-sendInterval/4 {
 		return
 	}
 	e.othersAt = now
 	e.mutex.Lock()
-	pending := e.relay.takeNews()
+	pending := e.relay.takeEvents()
 	fleet := e.relay.fleetTotal()
 	zone := e.relay.zoneTotal()
-	others := make(map[string]loads, len(audience.zone))
-	for _, name := range audience.zone {
+	others := make(map[string]loadSet, len(recipients.zone))
+	for _, name := range recipients.zone {
 		others[name] = e.relay.othersOf(name, fleet)
 	}
 	own := e.relay.othersOf(e.self.Name, fleet)
-	e.heard[othersOfFleet] = now
+	e.receivedAt[fleetName] = now
 	e.mutex.Unlock()
-	e.backends.SetPeerLoads(othersOfFleet, own.inFlight, own.waiting)
-	e.backends.SetPeerQueueStats(othersOfFleet, own.queueStats)
-	for name, work := range others {
-		e.tell([]string{name}, keyOthers+e.self.Name, work, pending.forMember(name), now)
+	e.backends.SetPeerLoads(fleetName, own.inFlight, own.waiting)
+	e.backends.SetPeerQueueStats(fleetName, own.queueStats)
+	for name, loads := range others {
+		e.sendTo([]string{name}, keyOthers+e.self.Name, loads, pending.forMember(name), now)
 	}
 	forZones := pending.forZones()
 	if now.Sub(e.zoneAt) >= zoneInterval || !forZones.isEmpty() {
 		e.zoneAt = now
-		e.tell(audience.zoneRelays, keyZone+e.self.Zone, zone, forZones, now)
+		e.sendTo(recipients.zoneRelays, keyZone+e.self.Zone, zone, forZones, now)
 	}
 }
 
-// receive takes what other daemons tell.
+// receive handles events of the membership protocol.
 func (e *Exchange) receive(event membership.Event) {
 	switch event.Kind {
 	case membership.EventHint:
 		e.accept(event.Item, time.Now())
 	case membership.EventMember:
 		if !event.Member.Live() {
-			e.drop(event.Member.Name)
+			e.removePeer(event.Member.Name)
 		}
 	}
 }
@@ -254,43 +257,43 @@
 	if !isMember && !isZone && !isOthers {
 		return
 	}
-	work, told, err := decode(item.Payload)
+	loads, events, err := decode(item.Payload)
 	if err != nil {
 		e.log.Warn("load_not_decoded", "key", item.Key, "error", err)
 		return
 	}
-	e.backends.RecordPeerPromptReads(told.reads, now)
-	e.backends.RecordPeerFailures(told.failures, now)
+	e.backends.RecordPeerPromptReads(events.reads, now)
+	e.backends.RecordPeerFailures(events.failures, now)
 	switch {
 	case isZone:
 		e.mutex.Lock()
-		e.relay.noteZone(zone, work, told, now)
+		e.relay.setZone(zone, loads, events, now)
 		e.mutex.Unlock()
 	case isOthers:
-		e.keep(othersOfFleet, work, now)
-	case e.currentAudience(now).isRelayed:
+		e.setPeer(fleetName, loads, now)
+	case e.currentRecipients(now).isRelayed:
 		e.mutex.Lock()
-		e.relay.noteMember(member, work, told, now)
+		e.relay.setMember(member, loads, events, now)
 		e.mutex.Unlock()
 	default:
-		e.keep(member, work, now)
+		e.setPeer(member, loads, now)
 	}
 }
 
-// keep counts what another daemon, or all others together, have in flight.
-func (e *Exchange) keep(name string, work loads, now time.Time) {
+// setPeer replaces the loads of another daemon, or of all others if name is fleetName.
+func (e *Exchange) setPeer(name string, loads loadSet, now time.Time) {
 	e.mutex.Lock()
-	e.heard[name] = now
+	e.receivedAt[name] = now
 	e.mutex.Unlock()
-	e.backends.SetPeerLoads(name, work.inFlight, work.waiting)
-	e.backends.SetPeerQueueStats(name, work.queueStats)
+	e.backends.SetPeerLoads(name, loads.inFlight, loads.waiting)
+	e.backends.SetPeerQueueStats(name, loads.queueStats)
 }
 
-func (e *Exchange) drop(name string) {
+func (e *Exchange) removePeer(name string) {
 	e.mutex.Lock()
-	_, known := e.heard[name]
-	delete(e.heard, name)
-	e.relay.forgetMember(name)
+	_, known := e.receivedAt[name]
+	delete(e.receivedAt, name)
+	e.relay.removeMember(name)
 	e.mutex.Unlock()
 	if known {
 		e.backends.SetPeerLoads(name, nil, 0)
@@ -298,19 +301,19 @@
 	}
 }
 
-// forget drops what was not refreshed for too long.
-func (e *Exchange) forget(now time.Time) {
-	since := now.Add(-forgetAfter)
+// expire drops loads that were not refreshed within loadTimeout.
+func (e *Exchange) expire(now time.Time) {
+	since := now.Add(-loadTimeout)
 	e.mutex.Lock()
-	e.relay.forgetSilent(since)
-	silent := []string{}
-	for name, at := range e.heard {
+	e.relay.removeStale(since)
+	stale := []string{}
+	for name, at := range e.receivedAt {
 		if at.Before(since) {
-			silent = append(silent, name)
+			stale = append(stale, name)
 		}
 	}
 	e.mutex.Unlock()
-	for _, name := range silent {
-		e.drop(name)
+	for _, name := range stale {
+		e.removePeer(name)
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	patience = 20 * time.Second
+	waitTime = 20 * time.Second
 	pollTime = 10 * time.Millisecond
 )
 
-// daemon is a member with its backends.
+// daemon is a running node with its backends.
 type daemon struct {
 	address  string
 	node     *cluster.Node
@@ -37,75 +37,74 @@
 	return startIn(t, "z", 100, name, seeds...)
 }
 
-// startIn starts a daemon in a zone of a fleet that uses relays beyond a size.
+// startIn starts a daemon in a zone. Fleets larger than directLimit use relays.
 func startIn(t *testing.T, zone string, directLimit int, name string, seeds ...string) *daemon {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &daemon{address: listener.Addr().String(), backends: backend.NewSet()}
+	started := &daemon{address: listener.Addr().String(), backends: backend.NewSet()}
 	require.NoError(t, listener.Close())
-	made.backends.Put(backend.Instance{ID: "one", Service: "s", Slots: 8})
-	quiet := slog.New(slog.DiscardHandler)
-	transport := peer.NewTransport(name, made.address, []byte(strings.Repeat("k", 32)), quiet)
-	self := membership.Member{Name: name, Address: made.address, Zone: zone, Incarnation: 1}
-	made.node = cluster.NewNode(membership.DefaultConfig(100*time.Millisecond), self, transport, quiet)
-	loads := exchange.New(made.node, made.backends, quiet)
-	loads.RelayFrom(directLimit)
+	started.backends.Put(backend.Instance{ID: "one", Service: "s", Slots: 8})
+	log := slog.New(slog.DiscardHandler)
+	transport := peer.NewTransport(name, started.address, []byte(strings.Repeat("k", 32)), log)
+	self := membership.Member{Name: name, Address: started.address, Zone: zone, Incarnation: 1}
+	started.node = cluster.NewNode(membership.DefaultConfig(100*time.Millisecond), self, transport, log)
+	loadExchange := exchange.New(started.node, started.backends, log)
+	loadExchange.SetDirectLimit(directLimit)
 	require.NoError(t, transport.Start())
 	t.Cleanup(transport.Stop)
-	made.node.SetSeeds(seeds)
+	started.node.SetSeeds(seeds)
 	ctx, cancel := context.WithCancel(context.Background())
-	made.cancel = cancel
+	started.cancel = cancel
 	t.Cleanup(cancel)
-	go made.node.Run(ctx)
-	go loads.Run(ctx)
-	return made
+	go started.node.Run(ctx)
+	go loadExchange.Run(ctx)
+	return started
 }
 
-func (d *daemon) seen() routing.Candidate {
+func (d *daemon) candidate() routing.Candidate {
 	return d.backends.Candidates("s", []routing.PromptPart{{ID: "manual", Tokens: 5000}, {ID: "own", Tokens: 10}}, time.Now())[0]
 }
 
-// TestDaemonsKnowEachOthersWork: requests in flight, large prompts and failures
-// of backends reach the other daemon; the work of a daemon that falls silent
-// is forgotten.
-func TestDaemonsKnowEachOthersWork(t *testing.T) {
+// TestDaemonsExchangeLoads: requests in flight, large prompts and failures of backends
+// reach the other daemon; the loads of a stopped daemon expire.
+func TestDaemonsExchangeLoads(t *testing.T) {
 	first := start(t, "a")
 	second := start(t, "b", first.address)
-	// Reads and failures are told once, to those who are known then.
-	require.Eventually(t, func() bool { return len(first.node.Members()) == 2 }, patience, pollTime)
+	// Reads and failures are sent once, to the members at that time.
+	require.Eventually(t, func() bool { return len(first.node.Members()) == 2 }, waitTime, pollTime)
 	prompt := []routing.PromptPart{{ID: "manual", Tokens: 5000}, {ID: "other", Tokens: 10}}
 	lease, found := first.backends.Acquire("one", backend.Online, prompt)
 	require.True(t, found)
 	_, found = first.backends.Acquire("one", backend.Batch, nil)
 	require.True(t, found)
 	require.Eventually(t, func() bool {
-		return second.seen().Online == 1 && second.seen().Batch == 1 && second.seen().PendingTokens == 5010 && second.seen().UncachedTokens == 10
-	}, patience, pollTime)
+		return second.candidate().Online == 1 && second.candidate().Batch == 1 && second.candidate().PendingTokens == 5010 && second.candidate().UncachedTokens == 10
+	}, waitTime, pollTime)
 	lease.Release()
-	require.Eventually(t, func() bool { return second.seen().Online == 0 && second.seen().Batch == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return second.candidate().Online == 0 && second.candidate().Batch == 1 }, waitTime, pollTime)
 	for range 4 {
 		first.backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	}
-	require.Eventually(t, func() bool { return second.seen().Ejected }, patience, pollTime)
+	require.Eventually(t, func() bool { return second.candidate().Ejected }, waitTime, pollTime)
 	first.cancel()
-	require.Eventually(t, func() bool { return second.seen().Batch == 0 }, patience, pollTime)
+	require.Eventually(t, func() bool { return second.candidate().Batch == 0 }, waitTime, pollTime)
 }
 
-// TestRelaysCarryLoadsThroughTheFleet: in a fleet with relays, a daemon's work,
-// waiting items and failures reach every daemon of its own and of another zone,
-// and are counted once; work of a daemon that falls silent is forgotten.
-func TestRelaysCarryLoadsThroughTheFleet(t *testing.T) {
+// TestRelaysDistributeLoads: with relays, a daemon's loads, waiting items and failures
+// reach every daemon of all zones and are counted once; the loads of a stopped daemon
+// expire.
+func TestRelaysDistributeLoads(t *testing.T) {
 	const size = 8
 	daemons := []*daemon{}
 	seeds := []string{}
 	for index := range size {
-		made := startIn(t, fmt.Sprint("z", index%2), 3, fmt.Sprint("d", index), seeds...)
-		seeds = []string{daemons0(daemons, made).address}
-		daemons = append(daemons, made)
+		started := startIn(t, fmt.Sprint("z", index%2), 3, fmt.Sprint("d", index), seeds...)
+		seeds = []string{firstDaemon(daemons, started).address}
+		daemons = append(daemons, started)
 	}
 	for _, each := range daemons {
-		require.Eventually(t, func() bool { return len(each.node.Members()) == size }, patience, pollTime)
+		require.Eventually(t, func() bool { return len(each.node.Members()) == size }, waitTime, pollTime)
 	}
 	for index, each := range daemons {
 		for range index {
@@ -117,8 +116,8 @@
 	const total = size * (size - 1) / 2
 	for index, each := range daemons {
 		require.Eventually(t, func() bool {
-			return each.seen().Online == total && each.backends.PeerWaiting() == total-index
-		}, patience, pollTime, "daemon %d", index)
+			return each.candidate().Online == total && each.backends.PeerWaiting() == total-index
+		}, waitTime, pollTime, "daemon %d", index)
 	}
 	daemons[5].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	daemons[5].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
@@ -126,18 +125,18 @@
 		daemons[4].backends.Failed(backend.Incarnation{ID: "one"}, time.Now())
 	}
 	for index, each := range daemons {
-		require.Eventually(t, func() bool { return each.seen().Ejected }, patience, pollTime, "daemon %d", index)
+		require.Eventually(t, func() bool { return each.candidate().Ejected }, waitTime, pollTime, "daemon %d", index)
 	}
 	daemons[7].cancel()
 	for _, each := range daemons[:7] {
-		require.Eventually(t, func() bool { return each.seen().Online == total-7 }, patience, pollTime)
+		require.Eventually(t, func() bool { return each.candidate().Online == total-7 }, waitTime, pollTime)
 	}
 }
 
-// daemons0 is the first daemon, which the others join.
-func daemons0(daemons []*daemon, made *daemon) *daemon {
+// firstDaemon returns the first daemon, which the others join.
+func firstDaemon(daemons []*daemon, started *daemon) *daemon {
 	if len(daemons) == 0 {
-		return made
+		return started
 	}
 	return daemons[0]
 }
--- a/internal/exchange/export_test.go
+++ b/internal/exchange/export_test.go
@@ -1,5 +1,5 @@
 package exchange
 
-// RelayFrom makes the exchange use relays in fleets of more than so many
-// daemons. It must be called before Run.
-func (e *Exchange) RelayFrom(directLimit int) { e.directLimit = directLimit }
+// SetDirectLimit sets the size of the largest fleet without relays. It must be called
+// before Run.
+func (e *Exchange) SetDirectLimit(directLimit int) { e.directLimit = directLimit }
--- a/internal/exchange/message.go
+++ b/internal/exchange/message.go
@@ -11,18 +11,18 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// loads is what daemons have in flight and what waits at them.
-type loads struct {
-	// inFlight is by backend.
+// loadSet holds the requests in flight and the queues of one or several daemons.
+type loadSet struct {
+	// inFlight holds the requests in flight by backend id.
 	inFlight map[string]backend.PeerLoad
 	// waiting is the number of batch items that wait for a backend.
 	waiting int
-	// queueStats is what online requests wait for, by service.
+	// queueStats holds the queue statistics of online requests by service.
 	queueStats map[string]slotqueue.Stats
 }
 
-// add counts further work.
-func (l *loads) add(other loads) {
+// add adds other to l.
+func (l *loadSet) add(other loadSet) {
 	l.waiting += other.waiting
 	l.queueStats = addQueueStats(l.queueStats, other.queueStats)
 	for id, load := range other.inFlight {
@@ -30,50 +30,50 @@
 	}
 }
 
-// without returns the work less a part of it.
-func (l loads) without(part loads) loads {
-	left := loads{inFlight: make(map[string]backend.PeerLoad, len(l.inFlight)), waiting: l.waiting - part.waiting, queueStats: queueStatsWithout(l.queueStats, part.queueStats)}
+// without returns the loads minus part.
+func (l loadSet) without(part loadSet) loadSet {
+	rest := loadSet{inFlight: make(map[string]backend.PeerLoad, len(l.inFlight)), waiting: l.waiting - part.waiting, queueStats: queueStatsWithout(l.queueStats, part.queueStats)}
 	for id, sum := range l.inFlight {
-		left.inFlight[id] = sum.Minus(part.inFlight[id])
+		rest.inFlight[id] = sum.Minus(part.inFlight[id])
 	}
-	return left
+	return rest
 }
 
-func (l loads) isEmpty() bool {
+func (l loadSet) isEmpty() bool {
 	return len(l.inFlight) == 0 && l.waiting == 0 && len(l.queueStats) == 0
 }
 
-// equal reports whether both hold the same work.
-func (l loads) equal(other loads) bool {
+// equal reports whether both loads are the same.
+func (l loadSet) equal(other loadSet) bool {
 	return l.waiting == other.waiting && maps.Equal(l.inFlight, other.inFlight) && maps.Equal(l.queueStats, other.queueStats)
 }
 
-// news is what is told once: large prompt parts that were sent, and failures
-// of backends.
-type news struct {
+// eventSet holds events that are sent once: large prompt parts that were sent to
+// backends, and failures of backends.
+type eventSet struct {
 	reads    []backend.PromptRead
 	failures map[backend.Incarnation]int
 }
 
-func (n news) isEmpty() bool { return len(n.reads) == 0 && len(n.failures) == 0 }
+func (s eventSet) isEmpty() bool { return len(s.reads) == 0 && len(s.failures) == 0 }
 
-// add appends further news; beyond newsLimit reads the rest is dropped, which
-// costs a prompt read twice at worst.
-func (n *news) add(other news) {
-	room := max(newsLimit-len(n.reads), 0)
-	n.reads = append(n.reads, other.reads[:min(room, len(other.reads))]...)
-	for life, count := range other.failures {
-		if n.failures == nil {
-			n.failures = map[backend.Incarnation]int{}
+// add adds the events of other. Reads beyond maxReads are dropped; then a prompt part may
+// be processed at more backends than needed.
+func (s *eventSet) add(other eventSet) {
+	free := max(maxReads-len(s.reads), 0)
+	s.reads = append(s.reads, other.reads[:min(free, len(other.reads))]...)
+	for incarnation, count := range other.failures {
+		if s.failures == nil {
+			s.failures = map[backend.Incarnation]int{}
 		}
-		n.failures[life] += count
+		s.failures[incarnation] += count
 	}
 }
 
-// newsLimit bounds the reads in one message.
-const newsLimit = 256
+// maxReads is the maximum number of reads in one message.
+const maxReads = 256
 
-// loadMessage carries loads and news between daemons.
+// loadMessage is the encoded form of loads and events.
 type loadMessage struct {
 	Backends   []backendLoad      `avro:"backends"`
 	Reads      []readRecord       `avro:"reads"`
@@ -114,39 +114,39 @@
 	{"name":"service","type":"string"},{"name":"in_time","type":"int"},{"name":"late","type":"int"},
 	{"name":"freed","type":"int"}]}},"default":[]}]}`)
 
-func encode(work loads, told news) ([]byte, error) {
-	message := loadMessage{Backends: make([]backendLoad, 0, len(work.inFlight)), Reads: []readRecord{}, Failures: []failureRecord{}, Waiting: work.waiting, QueueStats: queueStatsRecords(work.queueStats)}
-	for id, load := range work.inFlight {
+func encode(loads loadSet, events eventSet) ([]byte, error) {
+	message := loadMessage{Backends: make([]backendLoad, 0, len(loads.inFlight)), Reads: []readRecord{}, Failures: []failureRecord{}, Waiting: loads.waiting, QueueStats: queueStatsRecords(loads.queueStats)}
+	for id, load := range loads.inFlight {
 		if load.IsIdle() {
 			continue
 		}
 		message.Backends = append(message.Backends, backendLoad{ID: id, StartMillis: load.StartMillis, Online: load.Online, Batch: load.Batch, Pending: load.PendingTokens})
 	}
-	for _, read := range told.reads {
+	for _, read := range events.reads {
 		message.Reads = append(message.Reads, readRecord{Backend: read.Incarnation.ID, StartMillis: read.Incarnation.StartMillis, Part: read.Part})
 	}
-	for life, count := range told.failures {
-		message.Failures = append(message.Failures, failureRecord{Backend: life.ID, StartMillis: life.StartMillis, Count: count})
+	for incarnation, count := range events.failures {
+		message.Failures = append(message.Failures, failureRecord{Backend: incarnation.ID, StartMillis: incarnation.StartMillis, Count: count})
 	}
 	payload, err := avro.Marshal(loadSchema, message)
 	return payload, errors.WithStack(err)
 }
 
-func decode(payload []byte) (loads, news, error) {
+func decode(payload []byte) (loadSet, eventSet, error) {
 	var message loadMessage
 	if err := avrocodec.Unmarshal(loadSchema, payload, &message); err != nil {
-		return loads{}, news{}, errors.WithStack(err)
+		return loadSet{}, eventSet{}, errors.WithStack(err)
 	}
-	work := loads{inFlight: make(map[string]backend.PeerLoad, len(message.Backends)), waiting: message.Waiting, queueStats: queueStatsOf(message.QueueStats)}
+	loads := loadSet{inFlight: make(map[string]backend.PeerLoad, len(message.Backends)), waiting: message.Waiting, queueStats: queueStatsOf(message.QueueStats)}
 	for _, each := range message.Backends {
-		work.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.StartMillis, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
+		loads.inFlight[each.ID] = backend.PeerLoad{StartMillis: each.StartMillis, Online: each.Online, Batch: each.Batch, PendingTokens: each.Pending}
 	}
-	told := news{reads: make([]backend.PromptRead, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
+	events := eventSet{reads: make([]backend.PromptRead, 0, len(message.Reads)), failures: make(map[backend.Incarnation]int, len(message.Failures))}
 	for _, each := range message.Reads {
-		told.reads = append(told.reads, backend.PromptRead{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}, Part: each.Part})
+		events.reads = append(events.reads, backend.PromptRead{Incarnation: backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}, Part: each.Part})
 	}
 	for _, each := range message.Failures {
-		told.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}] += each.Count
+		events.failures[backend.Incarnation{ID: each.Backend, StartMillis: each.StartMillis}] += each.Count
 	}
-	return work, told, nil
+	return loads, events, nil
 }
--- a/internal/exchange/preempt.go
+++ b/internal/exchange/preempt.go
@@ -8,46 +8,45 @@
 	"topazpulley/internal/membership"
 )
 
-// betweenZones is the payload of a preemption that a relay passes to a relay of
-// another zone, which passes it on to a daemon of its own and no further.
-var betweenZones = []byte{1}
+// crossZone is the payload of a preemption that a relay sends to a relay of another
+// zone, which forwards it only within its own zone.
+var crossZone = []byte{1}
 
-// preempt has one batch item of another daemon give way at a backend: that of a
-// daemon known to have some there, or, where loads are relayed, that of a daemon
-// which the zone's relay knows.
+// preempt requests the preemption of one batch item of another daemon at a backend. With
+// relays the zone's relay selects the daemon.
 func (e *Exchange) preempt(id string) {
-	audience := e.currentAudience(time.Now())
+	recipients := e.currentRecipients(time.Now())
 	switch {
-	case !audience.isRelayed:
+	case !recipients.isRelayed:
 		e.mutex.Lock()
 		owner, found := drawByCount(e.backends.PeerBatch(id), e.random)
 		e.mutex.Unlock()
 		if found {
 			e.sendPreemption(owner, id, nil)
 		}
-	case audience.isRelay(e.self.Name):
-		e.routePreemption(id, audience, true)
-	case len(audience.relays) > 0:
-		e.sendPreemption(audience.relays[0], id, nil)
+	case recipients.isRelay(e.self.Name):
+		e.routePreemption(id, recipients, true)
+	case len(recipients.relays) > 0:
+		e.sendPreemption(recipients.relays[0], id, nil)
 	}
 }
 
-// acceptPreemption gives way, or passes a preemption on if this daemon relays
-// for its zone.
-func (e *Exchange) acceptPreemption(id string, isBetweenZones bool) {
+// acceptPreemption preempts an own batch item at the backend, or forwards the
+// preemption if this daemon has none there and is a relay.
+func (e *Exchange) acceptPreemption(id string, isCrossZone bool) {
 	if e.backends.HasBatch(id) {
 		e.backends.PreemptOwn(id)
 		return
 	}
-	audience := e.currentAudience(time.Now())
-	if audience.isRelayed && audience.isRelay(e.self.Name) {
-		e.routePreemption(id, audience, !isBetweenZones)
+	recipients := e.currentRecipients(time.Now())
+	if recipients.isRelayed && recipients.isRelay(e.self.Name) {
+		e.routePreemption(id, recipients, !isCrossZone)
 	}
 }
 
-// routePreemption passes a preemption to a daemon of the zone with items at the
-// backend or, if allowed, to the relay of a zone with some.
-func (e *Exchange) routePreemption(id string, audience audience, mayLeaveZone bool) {
+// routePreemption sends a preemption to a daemon of the zone with batch items at the
+// backend or, if mayLeaveZone, to the relay of another zone with batch items there.
+func (e *Exchange) routePreemption(id string, recipients recipients, mayLeaveZone bool) {
 	e.mutex.Lock()
 	member, zone, found := e.relay.takeBatch(id, mayLeaveZone, e.random)
 	e.mutex.Unlock()
@@ -58,8 +57,8 @@
 	case member != "":
 		e.sendPreemption(member, id, nil)
 	default:
-		if name, known := audience.relayOf[zone]; known {
-			e.sendPreemption(name, id, betweenZones)
+		if name, known := recipients.relayOf[zone]; known {
+			e.sendPreemption(name, id, crossZone)
 		}
 	}
 }
@@ -71,13 +70,13 @@
 	e.node.Hint(name, membership.Item{Key: keyPreempt + id, Version: time.Now().UnixNano(), Priority: membership.PriorityLoad, Payload: payload})
 }
 
-// takeBatch draws an item at a backend from those that daemons of the zone, or
-// other zones, are known to have there, and counts it no more until they tell
-// their loads anew. It returns the daemon's name or the zone's.
+// takeBatch draws a random batch item at a backend from the loads of the daemons of the
+// zone and, if mayLeaveZone, of other zones. The item is not counted again until the
+// loads are replaced. It returns the name of the item's daemon or zone.
 func (r *relay) takeBatch(id string, mayLeaveZone bool, random *rand.Rand) (member, zone string, found bool) {
-	inZone, elsewhere := batchBy(r.members, id), map[string]int{}
+	inZone, elsewhere := batchCounts(r.members, id), map[string]int{}
 	if mayLeaveZone {
-		elsewhere = batchBy(r.zones, id)
+		elsewhere = batchCounts(r.zones, id)
 	}
 	all := total(inZone) + total(elsewhere)
 	if all == 0 {
@@ -93,10 +92,10 @@
 	return "", zone, true
 }
 
-// batchBy returns how many batch items there are at a backend, by who told.
-func batchBy(heard map[string]heardLoads, id string) map[string]int {
+// batchCounts returns the number of batch items at a backend by daemon or zone.
+func batchCounts(received map[string]receivedLoads, id string) map[string]int {
 	counts := map[string]int{}
-	for name, each := range heard {
+	for name, each := range received {
 		if count := each.batchAt(id); count > 0 {
 			counts[name] = count
 		}
@@ -112,7 +111,8 @@
 	return sum
 }
 
-// drawByCount draws a name by its count.
+// drawByCount draws a random name weighted by its count. It returns false if all counts
+// are 0.
 func drawByCount(counts map[string]int, random *rand.Rand) (string, bool) {
 	sum := total(counts)
 	if sum == 0 {
@@ -123,10 +123,10 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	left := random.IntN(sum)
+	remaining := random.IntN(sum)
 	for _, name := range names {
-		left -= counts[name]
-		if left < 0 {
+		remaining -= counts[name]
+		if remaining < 0 {
 			return name, true
 		}
 	}
--- a/internal/exchange/queuestats.go
+++ b/internal/exchange/queuestats.go
@@ -6,7 +6,7 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// queueStatsRecord is what waits for places of one service.
+// queueStatsRecord is the encoded form of the queue statistics of one service.
 type queueStatsRecord struct {
 	Service    string `avro:"service"`
 	OnTime     int    `avro:"in_time"`
@@ -14,45 +14,45 @@
 	FreedSlots int    `avro:"freed"`
 }
 
-// addQueueStats returns the sums of both by service, without those of nothing.
+// addQueueStats returns the sum of both by service.
 func addQueueStats(one, other map[string]slotqueue.Stats) map[string]slotqueue.Stats {
 	total := maps.Clone(one)
 	if total == nil {
 		total = map[string]slotqueue.Stats{}
 	}
-	for service, sums := range other {
-		total[service] = total[service].Plus(sums)
+	for service, stats := range other {
+		total[service] = total[service].Plus(stats)
 	}
 	return total
 }
 
-// queueStatsWithout takes a part out of sums by service, without those of nothing.
+// queueStatsWithout returns total minus part by service, without zero entries.
 func queueStatsWithout(total, part map[string]slotqueue.Stats) map[string]slotqueue.Stats {
-	left := make(map[string]slotqueue.Stats, len(total))
-	for service, sums := range total {
-		if rest := sums.Minus(part[service]); rest != (slotqueue.Stats{}) {
-			left[service] = rest
+	remaining := make(map[string]slotqueue.Stats, len(total))
+	for service, stats := range total {
+		if rest := stats.Minus(part[service]); rest != (slotqueue.Stats{}) {
+			remaining[service] = rest
 		}
 	}
-	return left
+	return remaining
 }
 
-func queueStatsRecords(sums map[string]slotqueue.Stats) []queueStatsRecord {
-	records := make([]queueStatsRecord, 0, len(sums))
-	for service, each := range sums {
+func queueStatsRecords(stats map[string]slotqueue.Stats) []queueStatsRecord {
+	records := make([]queueStatsRecord, 0, len(stats))
+	for service, each := range stats {
 		records = append(records, queueStatsRecord{Service: service, OnTime: each.OnTime, Overdue: each.Overdue, FreedSlots: each.FreedSlots})
 	}
 	return records
 }
 
-// queueStatsOf returns sums by service; nil if none are told.
+// queueStatsOf returns the statistics by service, or nil if there are no records.
 func queueStatsOf(records []queueStatsRecord) map[string]slotqueue.Stats {
 	if len(records) == 0 {
 		return nil
 	}
-	sums := make(map[string]slotqueue.Stats, len(records))
+	stats := make(map[string]slotqueue.Stats, len(records))
 	for _, each := range records {
-		sums[each.Service] = slotqueue.Stats{OnTime: each.OnTime, Overdue: each.Overdue, FreedSlots: each.FreedSlots}
+		stats[each.Service] = slotqueue.Stats{OnTime: each.OnTime, Overdue: each.Overdue, FreedSlots: each.FreedSlots}
 	}
-	return sums
+	return stats
 }
--- a/internal/exchange/relay.go
+++ b/internal/exchange/relay.go
@@ -6,127 +6,126 @@
 	"topazpulley/internal/backend"
 )
 
-// relay gathers the loads of a zone's daemons and the totals of other zones, so
-// that each daemon is sent one sum and not one message from every other daemon.
-// It decides nothing about time or transport, and is not safe for concurrent
-// use.
+// relay collects the loads of a zone's daemons and the totals of other zones and
+// computes the totals to send. It does no I/O and is not safe for concurrent use.
 type relay struct {
-	// members are the loads of the zone's daemons by name; zones the totals
-	// that relays of other zones told.
-	members map[string]heardLoads
-	zones   map[string]heardLoads
-	// pending are the news by the member or zone that told them, until they are
-	// passed on.
-	pending map[origin]news
+	// members holds the loads of the zone's daemons by name, zones the totals of
+	// other zones by zone.
+	members map[string]receivedLoads
+	zones   map[string]receivedLoads
+	// pending holds the events to forward by their origin.
+	pending map[origin]eventSet
 }
 
-// origin is who told something: a daemon of the zone, or another zone.
+// origin identifies the sender of loads or events: a daemon of the zone or another zone.
 type origin struct {
 	name   string
 	isZone bool
 }
 
-type heardLoads struct {
-	work loads
-	at   time.Time
-	// preempted counts the batch items that were asked to give way since, by
-	// backend.
+// receivedLoads holds the last loads from one origin.
+type receivedLoads struct {
+	loads loadSet
+	at    time.Time
+	// preempted counts the preemptions sent since the loads were received, by backend.
 	preempted map[string]int
 }
 
-// batchAt returns how many batch items there are at a backend that were not
-// asked to give way.
-func (h heardLoads) batchAt(id string) int { return max(h.work.inFlight[id].Batch-h.preempted[id], 0) }
+// batchAt returns the number of batch items at a backend without those being preempted.
+func (l receivedLoads) batchAt(id string) int {
+	return max(l.loads.inFlight[id].Batch-l.preempted[id], 0)
+}
 
 func newRelay() *relay {
-	return &relay{members: map[string]heardLoads{}, zones: map[string]heardLoads{}, pending: map[origin]news{}}
+	return &relay{members: map[string]receivedLoads{}, zones: map[string]receivedLoads{}, pending: map[origin]eventSet{}}
 }
 
-// noteMember replaces what a daemon of the zone has in flight.
-func (r *relay) noteMember(name string, work loads, told news, now time.Time) {
-	r.members[name] = heardLoads{work: work, at: now, preempted: map[string]int{}}
-	r.noteNews(origin{name: name}, told)
+// setMember replaces the loads of a daemon of the zone and adds its events.
+func (r *relay) setMember(name string, loads loadSet, events eventSet, now time.Time) {
+	r.members[name] = receivedLoads{loads: loads, at: now, preempted: map[string]int{}}
+	r.addEvents(origin{name: name}, events)
 }
 
-// noteZone replaces the total of another zone.
-func (r *relay) noteZone(zone string, work loads, told news, now time.Time) {
-	r.zones[zone] = heardLoads{work: work, at: now, preempted: map[string]int{}}
-	r.noteNews(origin{name: zone, isZone: true}, told)
+// setZone replaces the total of another zone and adds its events.
+func (r *relay) setZone(zone string, loads loadSet, events eventSet, now time.Time) {
+	r.zones[zone] = receivedLoads{loads: loads, at: now, preempted: map[string]int{}}
+	r.addEvents(origin{name: zone, isZone: true}, events)
 }
 
-func (r *relay) noteNews(from origin, told news) {
-	if told.isEmpty() {
+func (r *relay) addEvents(from origin, events eventSet) {
+	if events.isEmpty() {
 		return
 	}
-	gathered := r.pending[from]
-	gathered.add(told)
-	r.pending[from] = gathered
+	collected := r.pending[from]
+	collected.add(events)
+	r.pending[from] = collected
 }
 
-// forgetMember drops a daemon that is gone.
-func (r *relay) forgetMember(name string) { delete(r.members, name) }
+// removeMember drops the loads of a daemon.
+func (r *relay) removeMember(name string) { delete(r.members, name) }
 
-// forgetSilent drops what was not refreshed since a moment.
-func (r *relay) forgetSilent(since time.Time) {
-	for _, heard := range []map[string]heardLoads{r.members, r.zones} {
-		for name, each := range heard {
+// removeStale drops loads that were received before since.
+func (r *relay) removeStale(since time.Time) {
+	for _, received := range []map[string]receivedLoads{r.members, r.zones} {
+		for name, each := range received {
 			if each.at.Before(since) {
-				delete(heard, name)
+				delete(received, name)
 			}
 		}
 	}
 }
 
-// zoneTotal is the work of all daemons of the zone.
-func (r *relay) zoneTotal() loads {
-	total := loads{inFlight: map[string]backend.PeerLoad{}}
+// zoneTotal returns the total loads of the zone.
+func (r *relay) zoneTotal() loadSet {
+	total := loadSet{inFlight: map[string]backend.PeerLoad{}}
 	for _, each := range r.members {
-		total.add(each.work)
+		total.add(each.loads)
 	}
 	return total
 }
 
-// fleetTotal is the work of all daemons of all zones.
-func (r *relay) fleetTotal() loads {
+// fleetTotal returns the total loads of all zones.
+func (r *relay) fleetTotal() loadSet {
 	total := r.zoneTotal()
 	for _, each := range r.zones {
-		total.add(each.work)
+		total.add(each.loads)
 	}
 	return total
 }
 
-// othersOf takes a daemon's own work out of the total of the fleet.
-func (r *relay) othersOf(name string, total loads) loads { return total.without(r.members[name].work) }
+// othersOf returns total without the loads of the named daemon.
+func (r *relay) othersOf(name string, total loadSet) loadSet {
+	return total.without(r.members[name].loads)
+}
 
-// takeNews returns the news to pass on and forgets them.
-func (r *relay) takeNews() pendingNews {
+// takeEvents removes and returns the events to forward.
+func (r *relay) takeEvents() pendingEvents {
 	taken := r.pending
-	r.pending = map[origin]news{}
+	r.pending = map[origin]eventSet{}
 	return taken
 }
 
-// pendingNews are news by who told them.
-type pendingNews map[origin]news
+// pendingEvents holds events by their origin.
+type pendingEvents map[origin]eventSet
 
-// forMember returns what a daemon of the zone does not know yet: all but what
-// it told itself.
-func (p pendingNews) forMember(name string) news {
-	gathered := news{}
-	for from, told := range p {
+// forMember returns the events for a daemon of the zone: all but its own.
+func (p pendingEvents) forMember(name string) eventSet {
+	collected := eventSet{}
+	for from, events := range p {
 		if from != (origin{name: name}) {
-			gathered.add(told)
+			collected.add(events)
 		}
 	}
-	return gathered
+	return collected
 }
 
-// forZones returns what other zones do not know yet: the news of this one.
-func (p pendingNews) forZones() news {
-	gathered := news{}
-	for from, told := range p {
+// forZones returns the events for other zones: those of this zone.
+func (p pendingEvents) forZones() eventSet {
+	collected := eventSet{}
+	for from, events := range p {
 		if !from.isZone {
-			gathered.add(told)
+			collected.add(events)
 		}
 	}
-	return gathered
+	return collected
 }
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -13,26 +13,26 @@
 	"topazpulley/internal/topology"
 )
 
-func work(online int) loads {
-	return loads{inFlight: map[string]backend.PeerLoad{"one": {Online: online, PendingTokens: online * 10}}, waiting: online}
+func loads(online int) loadSet {
+	return loadSet{inFlight: map[string]backend.PeerLoad{"one": {Online: online, PendingTokens: online * 10}}, waiting: online}
 }
 
-// TestRelayTellsEachDaemonTheOthersWork: whatever daemons and zones told, in
-// whatever order, a daemon's sum is everybody's newest work but its own.
-func TestRelayTellsEachDaemonTheOthersWork(t *testing.T) {
+// TestRelaySendsLoadsOfOthers: in any order of messages, a daemon gets the total of the
+// latest loads of all other daemons and zones.
+func TestRelaySendsLoadsOfOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		gathered, now := newRelay(), time.Now()
+		collected, now := newRelay(), time.Now()
 		members, zones := map[string]int{}, map[string]int{}
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			online := rapid.IntRange(0, 9).Draw(t, "online")
 			name := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "name"))
 			if rapid.Bool().Draw(t, "zone") {
 				zones[name] = online
-				gathered.noteZone(name, work(online), news{}, now)
+				collected.setZone(name, loads(online), eventSet{}, now)
 				continue
 			}
 			members[name] = online
-			gathered.noteMember(name, work(online), news{}, now)
+			collected.setMember(name, loads(online), eventSet{}, now)
 		}
 		total := 0
 		for _, part := range []map[string]int{members, zones} {
@@ -41,7 +41,7 @@
 			}
 		}
 		for name, own := range members {
-			others := gathered.othersOf(name, gathered.fleetTotal())
+			others := collected.othersOf(name, collected.fleetTotal())
 			require.Equal(t, total-own, others.inFlight["one"].Online)
 			require.Equal(t, (total-own)*10, others.inFlight["one"].PendingTokens)
 			require.Equal(t, total-own, others.waiting)
@@ -49,41 +49,38 @@
 	})
 }
 
-// TestRelayForgetsTheSilent.
-func TestRelayForgetsTheSilent(t *testing.T) {
-	gathered, now := newRelay(), time.Now()
-	gathered.noteMember("old", work(3), news{}, now.Add(-time.Minute))
-	gathered.noteZone("cut", work(4), news{}, now.Add(-time.Minute))
-	gathered.noteMember("new", work(1), news{}, now)
-	gathered.forgetSilent(now.Add(-forgetAfter))
-	require.Equal(t, 1, gathered.fleetTotal().waiting)
-	gathered.forgetMember("new")
-	require.Zero(t, gathered.fleetTotal().waiting)
+func TestRelayDropsStaleLoads(t *testing.T) {
+	collected, now := newRelay(), time.Now()
+	collected.setMember("old", loads(3), eventSet{}, now.Add(-time.Minute))
+	collected.setZone("cut", loads(4), eventSet{}, now.Add(-time.Minute))
+	collected.setMember("new", loads(1), eventSet{}, now)
+	collected.removeStale(now.Add(-loadTimeout))
+	require.Equal(t, 1, collected.fleetTotal().waiting)
+	collected.removeMember("new")
+	require.Zero(t, collected.fleetTotal().waiting)
 }
 
-// TestNewsAreToldOnceAndNeverBack: a failure counts once at every daemon, and
-// not again at the one that saw it; what another zone told is not told on to
-// other zones.
-func TestNewsAreToldOnceAndNeverBack(t *testing.T) {
-	gathered, now := newRelay(), time.Now()
-	told := news{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
-	gathered.noteMember("a", work(1), told, now)
-	gathered.noteMember("a", work(2), told, now)
-	gathered.noteZone("far", work(1), told, now)
-	pending := gathered.takeNews()
+// TestEventsAreForwardedOnce: each event is forwarded once to every daemon but its
+// origin, and events of another zone are not forwarded to other zones.
+func TestEventsAreForwardedOnce(t *testing.T) {
+	collected, now := newRelay(), time.Now()
+	events := eventSet{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
+	collected.setMember("a", loads(1), events, now)
+	collected.setMember("a", loads(2), events, now)
+	collected.setZone("far", loads(1), events, now)
+	pending := collected.takeEvents()
 	require.Equal(t, 4+2, pending.forMember("b").failures[backend.Incarnation{ID: "one"}])
 	require.Equal(t, 2, pending.forMember("a").failures[backend.Incarnation{ID: "one"}])
 	require.Equal(t, 4, pending.forZones().failures[backend.Incarnation{ID: "one"}])
-	require.True(t, gathered.takeNews().forMember("b").isEmpty())
+	require.True(t, collected.takeEvents().forMember("b").isEmpty())
 }
 
-// TestNewsAreBounded.
-func TestNewsAreBounded(t *testing.T) {
-	gathered := news{}
-	for range newsLimit {
-		gathered.add(news{reads: []backend.PromptRead{{}, {}}})
+func TestReadsAreLimited(t *testing.T) {
+	collected := eventSet{}
+	for range maxReads {
+		collected.add(eventSet{reads: []backend.PromptRead{{}, {}}})
 	}
-	require.Len(t, gathered.reads, newsLimit)
+	require.Len(t, collected.reads, maxReads)
 }
 
 func fleet(count int) []membership.Member {
@@ -94,13 +91,13 @@
 	return members
 }
 
-// TestEveryZoneHasRelaysThatAllAgreeOn, that reach every daemon of their zone,
-// and the relays of each other zone.
-func TestEveryZoneHasRelaysThatAllAgreeOn(t *testing.T) {
+// TestDaemonsAgreeOnRelays: all daemons of a zone use the same relays, which reach every
+// daemon of the zone and a relay of each other zone.
+func TestDaemonsAgreeOnRelays(t *testing.T) {
 	members := fleet(topology.FullMeshLimit + 5)
 	relays := map[string][]string{}
 	for _, self := range members {
-		found := audienceOf(self, members, topology.FullMeshLimit, section{})
+		found := recipientsOf(self, members, topology.FullMeshLimit, section{})
 		require.True(t, found.isRelayed)
 		require.Empty(t, found.members)
 		require.Len(t, found.relays, relaysPerZone)
@@ -110,7 +107,7 @@
 		require.Equal(t, relays[self.Zone], found.relays)
 	}
 	for _, self := range members {
-		found := audienceOf(self, members, topology.FullMeshLimit, section{})
+		found := recipientsOf(self, members, topology.FullMeshLimit, section{})
 		if !found.isRelay(self.Name) {
 			require.Empty(t, found.zone)
 			require.Empty(t, found.zoneRelays)
@@ -124,41 +121,39 @@
 	}
 }
 
-// TestSmallFleetsTellAllDirectly.
-func TestSmallFleetsTellAllDirectly(t *testing.T) {
+func TestSmallFleetUsesFullMesh(t *testing.T) {
 	members := fleet(topology.FullMeshLimit)
-	found := audienceOf(members[0], members, topology.FullMeshLimit, section{})
+	found := recipientsOf(members[0], members, topology.FullMeshLimit, section{})
 	require.False(t, found.isRelayed)
 	require.Len(t, found.members, topology.FullMeshLimit-1)
 }
 
-// TestLoadsSurviveTheWire.
-func TestLoadsSurviveTheWire(t *testing.T) {
-	sent := loads{inFlight: map[string]backend.PeerLoad{"one": {Online: 1, Batch: 2, PendingTokens: 3}, "idle": {}}, waiting: 7}
-	told := news{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
-	payload, err := encode(sent, told)
+func TestLoadsRoundTrip(t *testing.T) {
+	sent := loadSet{inFlight: map[string]backend.PeerLoad{"one": {Online: 1, Batch: 2, PendingTokens: 3}, "idle": {}}, waiting: 7}
+	events := eventSet{reads: []backend.PromptRead{{Incarnation: backend.Incarnation{ID: "one"}, Part: "p"}}, failures: map[backend.Incarnation]int{{ID: "one"}: 2}}
+	payload, err := encode(sent, events)
 	require.NoError(t, err)
-	got, gotNews, err := decode(payload)
+	got, gotEvents, err := decode(payload)
 	require.NoError(t, err)
 	delete(sent.inFlight, "idle")
 	require.True(t, sent.equal(got))
-	require.Equal(t, told, gotNews)
+	require.Equal(t, events, gotEvents)
 	_, _, err = decode([]byte{1, 2, 3})
 	require.Error(t, err)
 }
 
-// TestLargeFleetsTellNeighbors: daemons that know a section of the backends tell those that
-// share some with them, however large the fleet, and use no relays.
-func TestLargeFleetsTellNeighbors(t *testing.T) {
+// TestPartialSectionUsesNeighbors: in a large fleet a daemon with a partial section sends
+// to a bounded number of neighbors and uses no relays.
+func TestPartialSectionUsesNeighbors(t *testing.T) {
 	for _, size := range []int{300, 900} {
 		members := fleet(size)
-		found := audienceOf(members[0], members, topology.FullMeshLimit, section{width: 6 / float64(size), isPart: true})
+		found := recipientsOf(members[0], members, topology.FullMeshLimit, section{width: 6 / float64(size), isPartial: true})
 		require.False(t, found.isRelayed)
 		require.Empty(t, found.relays)
 		require.NotEmpty(t, found.members)
 		require.Less(t, len(found.members), topology.FullMeshLimit)
 	}
 	small := fleet(10)
-	found := audienceOf(small[0], small, topology.FullMeshLimit, section{width: 0.001, isPart: true})
-	require.Len(t, found.members, 9, "a small fleet tells all")
+	found := recipientsOf(small[0], small, topology.FullMeshLimit, section{width: 0.001, isPartial: true})
+	require.Len(t, found.members, 9, "a small fleet uses a full mesh")
 }
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -51,7 +51,7 @@
 	TokensPerMillisecond float64
 	// RequestMilliseconds is the delay added by each running request.
 	RequestMilliseconds float64
-	// QueueMilliseconds is the mean wait for a slot per request ahead.
+	// QueueMilliseconds is the mean wait for a slot per queued request.
 	QueueMilliseconds float64
 	// ToleranceMilliseconds is the cost difference that is ignored: one of the
 	// candidates within it of the lowest cost is drawn at random, weighted by
@@ -73,8 +73,8 @@
 	// Zone is the daemon's own zone. Candidates in it are preferred among those
 	// within the tolerance. Empty means no preference.
 	Zone string
-	// AffinityTokens is the size of the first prompt part from which requests
-	// prefer the backend selected by rendezvous hashing.
+	// AffinityTokens is the minimum size of a prompt's first part for which
+	// requests prefer the backend selected by rendezvous hashing.
 	AffinityTokens int
 }
 
--- a/internal/slotqueue/slotqueue.go
+++ b/internal/slotqueue/slotqueue.go
@@ -4,9 +4,9 @@
 // time.
 //
 // Requests that can still meet their objective retry often. Overdue requests retry
-// rarely while on-time requests use all slots, and more often as slots stay free. Both
-// first come, first served and earliest deadline first would make all requests miss
-// their objectives during overload.
+// rarely while on-time requests use all slots, and more often when slots are left over.
+// During overload this lets some requests meet their objective, where both first come,
+// first served and earliest deadline first make nearly all overdue.
 package slotqueue
 
 import "time"
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -30,7 +30,7 @@
 mutant loads_of_two_lives_added internal/backend/backend.go \
 	'case other.StartMillis < l.StartMillis:' 'case false:' internal/backend TestWorkAtTwoLivesIsNotAdded
 mutant loads_told_without_a_life internal/exchange/message.go \
-	'StartMillis: load.StartMillis, ' '' internal/exchange TestMessagesNameLives
+	'StartMillis: load.StartMillis, ' '' internal/exchange TestMessagesCarryIncarnations
 mutant place_of_the_life_before internal/serving/exchange.go \
 	'AcquireIncarnation(backend.Incarnation{ID: candidate.ID, StartMillis: candidate.StartMillis}, ' 'Acquire(candidate.ID, ' internal/serving TestBackendThatStartsAgainHoldsNoPlace
 mutant ends_by_id internal/serving/guarded.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -20,11 +20,11 @@
 mutant waiting_switch internal/serving/await.go \
 	'if !e.core.OrdersWaiting || e.lastEvent > 0 ||' 'if e.lastEvent > 0 ||' internal/serving TestOrderIsOffWhereItIsSwitchedOff
 mutant waiting_sums_not_told internal/exchange/message.go \
-	'QueueStats: queueStatsRecords(work.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestSumsSurviveTheWire
+	'QueueStats: queueStatsRecords(loads.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestQueueStatsRoundTrip
 mutant waiting_sums_not_added internal/exchange/message.go \
-	'l.queueStats = addQueueStats(l.queueStats, other.queueStats)' '' internal/exchange TestRelaySumsWhatWaits
+	'l.queueStats = addQueueStats(l.queueStats, other.queueStats)' '' internal/exchange TestRelayAddsQueueStats
 mutant waiting_own_sums_told_back internal/exchange/message.go \
-	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelaySumsWhatWaits
+	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelayAddsQueueStats
 mutant waiting_never_leaves internal/backend/waiting.go \
 	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestSumsOfWhatWaits
 mutant waiting_nothing_freed internal/backend/lease.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -151,7 +151,7 @@
 mutant no_instance_check platform/runner.go \
 	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackendGetsNothingNew'
 mutant relay_counts_own_work internal/exchange/relay.go \
-	'return total.without(r.members[name].work)' 'return total' internal/exchange TestRelayTellsEachDaemonTheOthersWork
+	'return total.without(r.members[name].loads)' 'return total' internal/exchange TestRelaySendsLoadsOfOthers
 mutant no_draw internal/routing/cost.go \
 	'return *draw(model.preferred(near), random), true' 'return *near[0].candidate, true' internal/routing TestConcurrentChoicesSpread
 mutant no_quota_window internal/job/pacing.go \
@@ -196,7 +196,7 @@
 mutant stale_upstream internal/frontend/upstream.go \
 	'if age >= upstreamAge {' 'if false {' internal/frontend TestUpstreamWithoutStoreTellsNothing
 mutant preempted_twice internal/exchange/relay.go \
-	'max(h.work.inFlight[id].Batch-h.preempted[id], 0)' 'h.work.inFlight[id].Batch' internal/exchange TestEachPreemptionTakesAnotherItem
+	'max(l.loads.inFlight[id].Batch-l.preempted[id], 0)' 'l.loads.inFlight[id].Batch' internal/exchange TestPreemptionsSelectDistinctItems
 mutant no_preemption internal/serving/await.go \
 	'		e.preemptAt(chosen)' '' internal/serving TestWaitingRequestPreemptsItems
 mutant no_pause_after_giving_way internal/job/dispatch.go \
