--- a/internal/serving/core.go
+++ b/internal/serving/core.go
@@ -129,10 +129,10 @@
 	model := routing.DefaultCostModel()
 	model.Zone = c.Zone
 	if allowed != preemptNothing {
-		model.GiveWayMilliseconds = preemptCostMillis
+		model.PreemptMilliseconds = preemptCostMillis
 	}
 	if allowed == preemptAnywhere {
-		model.DoubtMilliseconds = noBatchCostMillis
+		model.StaleMilliseconds = noBatchCostMillis
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -1,12 +1,12 @@
 # Mechanisms of the order of waiting.
 mutant waiting_late_asks_as_before internal/slotqueue/slotqueue.go \
-	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestOverloadServesOnTimeRequests
 mutant waiting_no_late_share internal/slotqueue/slotqueue.go \
-	'late := max(wanted-others, (wanted+others)*overdueShare)' 'late := wanted + others' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
+	'overdue := max(target-onTime, (target+onTime)*overdueShare)' 'overdue := target + onTime' internal/slotqueue TestOverdueUsesSpareSlots
 mutant waiting_never_crowded internal/slotqueue/slotqueue.go \
-	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestTooLittleRoomGoesToThoseInTime
+	'return s.MeanWait() > time.Duration(float64(objective)*overloadShare)' 'return false' internal/slotqueue TestOverloadServesOnTimeRequests
 mutant waiting_late_hurries internal/slotqueue/slotqueue.go \
-	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestLateTakesTheRoomThatNobodyInTimeWants
+	'return max(pause, LongestPause)' 'return max(pause, OverduePause)' internal/slotqueue TestOverdueUsesSpareSlots
 mutant waiting_alone internal/serving/slotwait.go \
 	'pause := slotqueue.Pause(request, fleet)' 'pause := slotqueue.PauseWithoutStats(request)' internal/serving TestOverdueRequestYieldsAndIsRejected
 mutant waiting_queues_in_the_end internal/serving/slotwait.go \
@@ -20,11 +20,11 @@
 mutant waiting_switch internal/serving/slotwait.go \
 	'if !e.core.OrdersWaiting || e.lastEvent > 0 ||' 'if e.lastEvent > 0 ||' internal/serving TestOrdersWaitingDisabled
 mutant waiting_sums_not_told internal/exchange/message.go \
-	'QueueStats: queueStatsRecords(work.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestSumsSurviveTheWire
+	'QueueStats: queueStatsRecords(loads.queueStats)' 'QueueStats: []queueStatsRecord{}' internal/exchange TestQueueStatsRoundTrip
 mutant waiting_sums_not_added internal/exchange/message.go \
-	'l.queueStats = addQueueStats(l.queueStats, other.queueStats)' '' internal/exchange TestRelaySumsWhatWaits
+	'l.queueStats = addQueueStats(l.queueStats, other.queueStats)' '' internal/exchange TestRelayAddsQueueStats
 mutant waiting_own_sums_told_back internal/exchange/message.go \
-	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelaySumsWhatWaits
+	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelayAddsQueueStats
 mutant waiting_never_leaves internal/backend/waiting.go \
 	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestQueueStats
 mutant waiting_nothing_freed internal/backend/lease.go \
