--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -256,7 +256,7 @@
 // that any of them saw, with every datagram, so that a read which lies behind
 // is noticed also by those that have seen nothing newer themselves.
 func shareVersions(node *cluster.Node, store *table.Monotonic) {
-	store.Tell = func(version table.Version) { node.SetRevision(int64(version)) }
+	store.OnVersion = func(version table.Version) { node.SetRevision(int64(version)) }
 	node.Subscribe(func(event membership.Event) {
 		if event.Kind == membership.EventRevision {
 			store.Raise(table.Version(event.Revision))
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -59,7 +59,7 @@
 }
 
 // Place implements table.SectionPlan.
-func (p *sectionPlan) Place() float64 { return p.place }
+func (p *sectionPlan) Position() float64 { return p.place }
 
 // IsEnough implements table.SectionPlan.
 func (p *sectionPlan) IsEnough(rows []table.Row) bool {
--- a/internal/table/age_test.go
+++ b/internal/table/age_test.go
@@ -13,102 +13,97 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// ageWitness notes how old the follower says its table is while rows are handed on.
-type ageWitness struct {
+// ageRecorder records the follower's age during each change.
+type ageRecorder struct {
 	recorder
-	follower *table.Follower
-	youngest atomic.Int64
+	follower    *table.Follower
+	ageAtChange atomic.Int64
 }
 
-func (w *ageWitness) Change(rows []table.Row, version table.Version) {
+func (w *ageRecorder) Change(rows []table.Row, version table.Version) {
 	if len(rows) > 0 {
-		w.youngest.Store(int64(w.follower.Age()))
+		w.ageAtChange.Store(int64(w.follower.Age()))
 	}
 	w.recorder.Change(rows, version)
 }
 
-// lateStore gives its answers to watches so long after they were made, and does not
-// tell when that was.
-type lateStore struct {
+// delayedStore delays the answers to watches and removes their AsOf.
+type delayedStore struct {
 	table.Store
-	late time.Duration
+	delay time.Duration
 }
 
-func (s *lateStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+func (s *delayedStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
 	changes, err := s.Store.Watch(ctx, name, after, wait)
-	time.Sleep(s.late)
+	time.Sleep(s.delay)
 	changes.AsOf = 0
 	return changes, err
 }
 
-// TestAgeIsNeverTooShort: rows that are being handed on are not yet counted, an
-// answer that waited on its way counts from before it was made, and sleep of the
-// machine counts.
-func TestAgeIsNeverTooShort(t *testing.T) {
-	const late = 150 * time.Millisecond
+// TestAgeIsUpperBound guards against an age that is too low: during a change, after a
+// delayed answer, and after the machine was suspended.
+func TestAgeIsUpperBound(t *testing.T) {
+	const delay = 150 * time.Millisecond
 	memory := tabletest.NewMemory()
-	store := &lateStore{Store: memory, late: late}
+	store := &delayedStore{Store: memory, delay: delay}
 	slept := atomic.Int64{}
-	witness := &ageWitness{}
-	witness.follower = &table.Follower{
-		Store: store, Table: followed, Consumer: witness, Logger: quiet, Wait: 50 * time.Millisecond,
+	recorded := &ageRecorder{}
+	recorded.follower = &table.Follower{
+		Store: store, Table: followedTable, Consumer: recorded, Logger: discardLogger, Wait: 50 * time.Millisecond,
 		Clock: func() boottime.Instant { return boottime.Now().Add(time.Duration(slept.Load())) },
 	}
-	require.Greater(t, witness.follower.Age(), time.Hour, "nothing was told yet")
+	require.Greater(t, recorded.follower.Age(), time.Hour, "the table was never confirmed")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go witness.follower.Run(ctx)
+	go recorded.follower.Run(ctx)
 	put(t, memory, "", "counter", "1")
-	require.Eventually(t, func() bool { return witness.value("counter") == "1" }, patience, pollTime)
+	require.Eventually(t, func() bool { return recorded.value("counter") == "1" }, testTimeout, pollTime)
 	for _, value := range []string{"2", "3", "4"} {
 		put(t, memory, "", "counter", value)
-		require.Eventually(t, func() bool { return witness.value("counter") == value }, patience, pollTime)
-		require.GreaterOrEqual(t, time.Duration(witness.youngest.Load()), late)
-		require.GreaterOrEqual(t, witness.follower.Age(), late)
+		require.Eventually(t, func() bool { return recorded.value("counter") == value }, testTimeout, pollTime)
+		require.GreaterOrEqual(t, time.Duration(recorded.ageAtChange.Load()), delay)
+		require.GreaterOrEqual(t, recorded.follower.Age(), delay)
 	}
 	cancel()
 	slept.Store(int64(time.Minute))
-	require.GreaterOrEqual(t, witness.follower.Age(), time.Minute)
+	require.GreaterOrEqual(t, recorded.follower.Age(), time.Minute)
 }
 
-// deafStore forgets the history while it is deaf: watches are told that it is gone, also
-// those that had an answer.
-type deafStore struct {
+// compactingStore answers every watch with ErrorCompacted while isCompacted is set.
+type compactingStore struct {
 	table.Store
-	isDeaf atomic.Bool
+	isCompacted atomic.Bool
 }
 
-func (s *deafStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+func (s *compactingStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
 	changes, err := s.Store.Watch(ctx, name, after, wait)
-	if s.isDeaf.Load() {
+	if s.isCompacted.Load() {
 		return table.Changes{}, &table.Error{Kind: table.ErrorCompacted, Call: "watch"}
 	}
 	return changes, err
 }
 
-// TestStaleReadConfirmsNothing: while the store forgets its history, reads lie behind.
-// One that is as old as what is known cannot be told from the present state; it was
-// counted as that, and a table from which a row had gone was said to be fresh for as long
-// as reads lay behind.
-func TestStaleReadConfirmsNothing(t *testing.T) {
-	const behind = 600 * time.Millisecond
-	memory, witness := tabletest.NewMemory(), &recorder{}
-	store := &deafStore{Store: memory}
-	follower := &table.Follower{Store: table.NewMonotonic(store), Table: followed, Consumer: witness, Logger: quiet, Wait: 50 * time.Millisecond}
+// TestStaleReadDoesNotConfirm guards against a stale read of the version already seen, during
+// a compaction, that resets the age although a row was removed since.
+func TestStaleReadDoesNotConfirm(t *testing.T) {
+	const staleTime = 600 * time.Millisecond
+	memory, recorded := tabletest.NewMemory(), &recorder{}
+	store := &compactingStore{Store: memory}
+	follower := &table.Follower{Store: table.NewMonotonic(store), Table: followedTable, Consumer: recorded, Logger: discardLogger, Wait: 50 * time.Millisecond}
 	go follower.Run(t.Context())
 	put(t, memory, "", "claim", "held")
-	require.Eventually(t, func() bool { return witness.value("claim") == "held" && follower.Age() < time.Second }, patience, pollTime)
+	require.Eventually(t, func() bool { return recorded.value("claim") == "held" && follower.Age() < time.Second }, testTimeout, pollTime)
 	memory.Freeze()
-	store.isDeaf.Store(true)
+	store.isCompacted.Store(true)
 	removed := time.Now()
 	put(t, memory, "", "claim", "")
-	for time.Since(removed) < behind {
-		least := time.Since(removed)
-		require.Greater(t, follower.Age(), least, "what is gone is said to be there")
+	for time.Since(removed) < staleTime {
+		elapsed := time.Since(removed)
+		require.Greater(t, follower.Age(), elapsed, "a stale read reset the age")
 		time.Sleep(pollTime)
 	}
-	require.Equal(t, "held", witness.value("claim"))
+	require.Equal(t, "held", recorded.value("claim"))
 	memory.Thaw()
-	store.isDeaf.Store(false)
-	require.Eventually(t, func() bool { return witness.value("claim") == "" && follower.Age() < behind }, patience, pollTime)
+	store.isCompacted.Store(false)
+	require.Eventually(t, func() bool { return recorded.value("claim") == "" && follower.Age() < staleTime }, testTimeout, pollTime)
 }
--- a/internal/table/follower.go
+++ b/internal/table/follower.go
@@ -15,110 +15,112 @@
 
 const (
 	// retryPause is the mean pause after a failed call.
-	retryPause    = 100 * time.Millisecond
-	pageRows      = 500
+	retryPause = 100 * time.Millisecond
+	// pageRows is the page size for reads of a partition.
+	pageRows = 500
+	// answerReserve is how long the answer to a watch may take beyond its wait.
 	answerReserve = 700 * time.Millisecond
 	readTimeout   = time.Second
-	// askInterval is the shortest time between two questions to peers.
-	askInterval = 400 * time.Millisecond
-	// fewPartitions are read whatever the size of the fleet.
-	fewPartitions = 8
+	// peerQueryInterval is the minimum interval between two queries to peers.
+	peerQueryInterval = 400 * time.Millisecond
+	// deferThreshold is the number of partitions up to which a read is never deferred.
+	deferThreshold = 8
 )
 
-// errDeferred tells that a read waits for an upstream.
+// errDeferred means that a read was deferred because an upstream may provide the table.
 var errDeferred = &Error{Kind: ErrorNotDone, Call: "deferred_read"}
 
-// Consumer receives the rows of a followed table. Calls come from one
+// Consumer receives the rows of a followed table. All calls come from one
 // goroutine.
 type Consumer interface {
 	// Replace receives all rows as of a version.
 	Replace(rows []Row, version Version)
-	// Change receives changed rows in order, or none when only the version rose.
+	// Change receives changed rows in order, or none if only the version increased.
 	Change(rows []Row, version Version)
 }
 
-// Follower keeps a consumer in step with one table. What it hands on never
-// goes back: a read older than what was seen is dropped and repeated.
+// Follower keeps a consumer up to date with one table. Versions passed to the
+// consumer never decrease: an older read is dropped and repeated.
 type Follower struct {
 	Store    Store
 	Table    string
 	Consumer Consumer
 	Logger   *slog.Logger
-	// Wait is how long one watch call may be held.
+	// Wait is how long one watch call may wait for changes.
 	Wait time.Duration
-	// RelayWait is how long one call to an upstream may be held; 0 means Wait. What an
-	// upstream tells may be as old as a call of its own.
+	// RelayWait is how long one call to an upstream may wait for changes; 0 means Wait.
+	// An upstream's data may be as old as its own last call.
 	RelayWait time.Duration
-	// Partitioned tells that the table has partitions besides the empty one.
+	// Partitioned is set if the table has named partitions besides the unnamed one.
 	Partitioned bool
-	// Pace bounds how often changes are asked for; nil means no bound. Changes
-	// that come meanwhile are told together by the next call.
+	// Pace limits the rate of calls for changes; nil means no limit. Changes made
+	// meanwhile are returned together by the next call.
 	Pace *rate.Limiter
-	// Plan decides how much of a large table is kept; nil means all. Partitioned must not
-	// be set beside it, and Part must be the Consumer.
+	// Plan decides which section of a large table is kept; nil means all of it. If it is
+	// set, Partitioned must be false and Part must be the same object as Consumer.
 	Plan SectionPlan
 	Part SectionConsumer
-	// Deferred returns for how long a read of many partitions, a call each, waits for an
-	// upstream before it is tried again, 0 if it does not wait; nil means that it does not.
+	// Deferred returns how long a read of many partitions (one call each) is deferred in
+	// favor of an upstream, or 0 if it isn't. nil means never.
 	Deferred func() time.Duration
-	// Peers are asked while the store does not answer; nil means none.
+	// Peers are queried while the store does not answer; nil means none.
 	Peers Peers
-	// Upstream is followed in place of the store while it is in step; nil means
+	// Upstream is followed instead of the store while it is up to date; nil means
 	// none.
 	Upstream Upstream
-	// Clock is the system's if it is nil.
+	// Clock is the clock for ages; nil means the system's.
 	Clock boottime.Clock
 
-	// hasManyPartitions tells that more than fewPartitions were listed.
+	// hasManyPartitions is set if the last listing had more than deferThreshold partitions.
 	hasManyPartitions bool
 
-	seen    Version
-	space   Keyspace
-	section atomic.Pointer[held]
-	// resizeAfter is when more or less of the table may be read again.
+	// seen is the version that the consumer received last.
+	seen     Version
+	keyspace Keyspace
+	section  atomic.Pointer[keptSection]
+	// resizeAfter is the earliest time of the next resize.
 	resizeAfter time.Time
-	// isUnconfirmed tells that the table was read since the last watch.
-	isUnconfirmed bool
-	askedAt       time.Time
-	lost          bool
-	// directUntil is until when the store is followed although there is an
-	// upstream.
+	// isUnconfirmed is set if the table was read since the last watch.
+	isUnconfirmed  bool
+	peersQueriedAt time.Time
+	isStoreLost    bool
+	// directUntil is the time until which the store is followed although an upstream
+	// is set.
 	directUntil time.Time
 	// upstreamFailedAt is when the upstream last failed.
 	upstreamFailedAt time.Time
-	// confirmed is the moment, as a boottime.Instant, at which the table as it was
-	// handed on was certainly the present state; told is the same by the store's own
-	// answers alone. Zero means never.
-	confirmed atomic.Int64
-	told      atomic.Int64
-	// settling is nil until the store was away for the first time.
+	// confirmed is the latest boottime.Instant at which the consumer's version was
+	// known to be current. storeConfirmed is the same, by direct answers of the store
+	// only. Zero means never.
+	confirmed      atomic.Int64
+	storeConfirmed atomic.Int64
+	// settling is nil until the store is unavailable for the first time.
 	settling atomic.Pointer[settling]
 }
 
-// Age returns for how long the table, as it was handed on, may not have been the
-// present state, by answers of the store or of a daemon that had one. It is never
-// too short: it counts from a moment before the answer was made, and goes on while
-// the machine sleeps.
+// Age returns an upper bound of how long the consumer's version may have been out of
+// date, by answers of the store or of other daemons. It counts from before the last
+// answer was made and includes time in which the machine was suspended.
 func (f *Follower) Age() time.Duration { return f.since(f.confirmed.Load()) }
 
-// StoreAge is Age by the store's own answers alone.
-func (f *Follower) StoreAge() time.Duration { return f.since(f.told.Load()) }
+// StoreAge is Age by direct answers of the store only.
+func (f *Follower) StoreAge() time.Duration { return f.since(f.storeConfirmed.Load()) }
 
-// ConfirmedAt returns when the table, as it was handed on, was certainly the
-// present state.
+// ConfirmedAt returns the latest time at which the consumer's version was known to be
+// current.
 func (f *Follower) ConfirmedAt() time.Time { return time.Now().Add(-f.Age()) }
 
-// never is the age, a century, of a table of which nothing was told.
-const never = 100 * 365 * 24 * time.Hour
+// unknownAge is the age of a table that was never confirmed.
+const unknownAge = 100 * 365 * 24 * time.Hour
 
 func (f *Follower) since(instant int64) time.Duration {
 	if instant == 0 {
-		return never
+		return unknownAge
 	}
 	return f.Now().Sub(boottime.Instant(instant))
 }
 
-// Now is the present moment by the follower's clock.
+// Now returns the current time by the follower's clock.
 func (f *Follower) Now() boottime.Instant {
 	if f.Clock == nil {
 		return boottime.Now()
@@ -128,48 +130,48 @@
 
 // Run follows the table until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	inStep := false
+	isSynced := false
 	for ctx.Err() == nil {
 		if f.pace(ctx) != nil {
 			return // the context ends
 		}
-		f.resize(ctx, inStep)
-		// What an upstream tells of a section needs one to begin with.
-		if (inStep || f.Plan == nil) && f.followUpstream(ctx) {
-			inStep = true
+		f.resize(ctx, isSynced)
+		// With a plan, an upstream can be followed only once a section is kept.
+		if (isSynced || f.Plan == nil) && f.followUpstream(ctx) {
+			isSynced = true
 			continue
 		}
 		var err error
 		switch {
-		case inStep:
+		case isSynced:
 			err = f.watch(ctx)
 		case f.isDeferred():
 			err = errDeferred
 		default:
-			inStep, err = f.read(ctx)
+			isSynced, err = f.read(ctx)
 		}
 		if errors.Is(err, errDeferred) {
 			periodic.Sleep(ctx, f.Deferred())
 			continue
 		}
-		f.note(err)
+		f.recordResult(err)
 		if isCompacted(err) {
-			inStep = false
+			isSynced = false
 		}
 		if err != nil {
-			inStep = f.askPeers(ctx) || inStep
-			f.tryUpstreamSoon()
+			isSynced = f.queryPeers(ctx) || isSynced
+			f.retryUpstreamSoon()
 			periodic.SleepAbout(ctx, retryPause)
 		}
 	}
 }
 
-// isDeferred reports whether a read of many partitions waits for an upstream.
+// isDeferred reports whether a read of many partitions is deferred in favor of an upstream.
 func (f *Follower) isDeferred() bool {
 	return f.hasManyPartitions && f.Deferred != nil && f.Deferred() > 0
 }
 
-// pace waits until changes may be asked for again.
+// pace waits until the rate limit allows another call.
 func (f *Follower) pace(ctx context.Context) error {
 	if f.Pace == nil {
 		return nil
@@ -177,37 +179,37 @@
 	return errors.WithStack(f.Pace.Wait(ctx))
 }
 
-// askPeers takes another daemon's copy of the table if it is newer, and reports
-// whether it did. All versions come from the store's one counter, so that a
-// newer copy is never a step back.
-func (f *Follower) askPeers(ctx context.Context) bool {
-	if f.Peers == nil || !f.lost || time.Since(f.askedAt) < askInterval {
+// queryPeers replaces the table by another daemon's copy if that is newer, and reports
+// whether it did. All versions come from the store's single counter, so that they are
+// comparable between daemons.
+func (f *Follower) queryPeers(ctx context.Context) bool {
+	if f.Peers == nil || !f.isStoreLost || time.Since(f.peersQueriedAt) < peerQueryInterval {
 		return false
 	}
-	f.askedAt = time.Now()
+	f.peersQueriedAt = time.Now()
 	started := f.Now()
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	held, found := f.copyOfPeer(bounded)
+	peerCopy, found := f.fetchPeerCopy(bounded)
 	if !found {
 		return false
 	}
-	isTaken := held.IsNewer && held.Version > f.seen
-	if isTaken {
+	isApplied := peerCopy.IsNewer && peerCopy.Version > f.seen
+	if isApplied {
 		if f.Plan != nil {
-			f.setSection(heldSection(held))
+			f.setSection(peerSection(peerCopy))
 		}
-		f.Consumer.Replace(held.Rows, held.Version)
-		f.Logger.Info("table_from_peer", "table", f.Table, "version", held.Version, "version_before", f.seen, "rows", len(held.Rows), "age_ms", held.Age.Milliseconds())
-		f.seen = held.Version
+		f.Consumer.Replace(peerCopy.Rows, peerCopy.Version)
+		f.Logger.Info("table_from_peer", "table", f.Table, "version", peerCopy.Version, "version_before", f.seen, "rows", len(peerCopy.Rows), "age_ms", peerCopy.Age.Milliseconds())
+		f.seen = peerCopy.Version
 	}
-	f.noteConfirmed(started.Add(-held.Age))
-	return isTaken
+	f.recordConfirmed(started.Add(-peerCopy.Age))
+	return isApplied
 }
 
-// copyOfPeer asks for another daemon's copy. One of a section serves a follower that has
-// nothing yet: any section is as good as its own.
-func (f *Follower) copyOfPeer(ctx context.Context) (PeerCopy, bool) {
+// fetchPeerCopy asks other daemons for their copy. The copy of a section is used only by
+// a follower that has no section yet.
+func (f *Follower) fetchPeerCopy(ctx context.Context) (PeerCopy, bool) {
 	section, _, _ := f.Section()
 	switch {
 	case f.Plan == nil:
@@ -222,34 +224,35 @@
 	return found, true
 }
 
-// noteConfirmed notes a moment at which the table, as it was handed on, was the
-// present state. It is called behind the consumer, never before: who asks for the
-// age must find at least what it speaks of.
-func (f *Follower) noteConfirmed(at boottime.Instant) {
+// recordConfirmed records a time at which the consumer's version was current. It must be
+// called after the consumer has received that version, so that Age is never less than the
+// age of the consumer's rows.
+func (f *Follower) recordConfirmed(at boottime.Instant) {
 	if int64(at) > f.confirmed.Load() {
 		f.confirmed.Store(int64(at))
 	}
 }
 
-// noteStore is noteConfirmed for an answer of the store itself.
-func (f *Follower) noteStore(at boottime.Instant) {
-	f.told.Store(int64(at))
-	f.noteConfirmed(at)
+// recordStoreAnswer is recordConfirmed for a direct answer of the store.
+func (f *Follower) recordStoreAnswer(at boottime.Instant) {
+	f.storeConfirmed.Store(int64(at))
+	f.recordConfirmed(at)
 }
 
-// note logs the loss and the return of the store for this table.
-func (f *Follower) note(err error) {
+// recordResult updates the state from the result of a call and logs when the store stops
+// or resumes answering for this table.
+func (f *Follower) recordResult(err error) {
 	isLost := err != nil && !isCompacted(err)
-	if isLost == f.lost {
+	if isLost == f.isStoreLost {
 		return
 	}
-	f.lost = isLost
+	f.isStoreLost = isLost
 	if isLost {
-		f.settling.Store(&settling{isAway: true})
+		f.settling.Store(&settling{isUnavailable: true})
 		f.Logger.Warn("table_lost", "table", f.Table, "version", f.seen, "error", err)
 		return
 	}
-	f.settle()
+	f.startSettling()
 	f.Logger.Info("table_regained", "table", f.Table, "version", f.seen)
 }
 
@@ -258,7 +261,7 @@
 	return errors.As(err, &failed) && failed.Kind == ErrorCompacted
 }
 
-// watch waits for changes once.
+// watch makes one watch call and passes the changes on.
 func (f *Follower) watch(ctx context.Context) error {
 	wait := f.Wait
 	if f.Upstream != nil && f.Upstream.Serves() {
@@ -267,7 +270,7 @@
 	bounded, cancel := context.WithTimeout(ctx, wait+answerReserve)
 	defer cancel()
 	if f.isUnconfirmed || (f.Upstream != nil && f.StoreAge() > servingWait && f.Upstream.Serves()) {
-		// It confirms the read, or what is told to followers that have just come.
+		// Confirm the read, or this upstream's data for its new followers, without waiting.
 		wait = 0
 	}
 	started := f.Now()
@@ -278,18 +281,18 @@
 	if changes.Version < f.seen {
 		return &Error{Kind: ErrorCompacted, Call: "watch"}
 	}
-	f.note(nil)
+	f.recordResult(nil)
 	f.Consumer.Change(changes.Rows, changes.Version)
 	f.seen, f.isUnconfirmed = changes.Version, false
-	f.noteStore(max(started, changes.AsOf))
+	f.recordStoreAnswer(max(started, changes.AsOf))
 	return nil
 }
 
-// read reads the whole table. A state older than what was seen is refused; one that is
-// as old may lie behind, for three seconds while the store forgets its history, so that
-// only the next watch, which goes on from it, confirms the present state. The
-// version is that of a read before the partitions are listed, so that changes
-// made meanwhile are seen again as changes.
+// read reads the entire table, or its section. A state older than the version seen is
+// rejected. A state of the same version may be stale, because the store can serve stale
+// reads for 3 s after a compaction; only the next watch confirms it. The version is that
+// of a read before the partitions are listed, so that later changes are returned by the
+// next watch.
 func (f *Follower) read(ctx context.Context) (bool, error) {
 	all, version, section, err := f.readUnpartitioned(ctx)
 	if err != nil {
@@ -305,7 +308,7 @@
 		}
 		all = append(all, partitioned...)
 	}
-	f.note(nil)
+	f.recordResult(nil)
 	if f.Plan != nil {
 		f.setSection(section)
 	}
@@ -315,27 +318,26 @@
 	return true, nil
 }
 
-// readUnpartitioned reads the partition without a name, or what is kept of it.
-func (f *Follower) readUnpartitioned(ctx context.Context) ([]Row, Version, held, error) {
+// readUnpartitioned reads the unnamed partition, or the section of it that the plan selects.
+func (f *Follower) readUnpartitioned(ctx context.Context) ([]Row, Version, keptSection, error) {
 	if f.Plan == nil {
 		rows, version, err := f.readPartition(ctx, "")
-		return rows, version, held{width: 1}, err
+		return rows, version, keptSection{width: 1}, err
 	}
 	made, err := f.readSection(ctx)
 	if err != nil {
-		return nil, 0, held{}, err
+		return nil, 0, keptSection{}, err
 	}
-	return made.rows, made.version, made.held, nil
+	return made.rows, made.version, made.kept, nil
 }
 
-// readPartitions reads all partitions with a name; none may be older than the
-// version.
+// readPartitions reads all named partitions. A partition older than atLeast is an error.
 func (f *Follower) readPartitions(ctx context.Context, atLeast Version) ([]Row, error) {
 	partitions, err := f.partitions(ctx)
 	if err != nil {
 		return nil, err
 	}
-	f.hasManyPartitions = len(partitions) > fewPartitions
+	f.hasManyPartitions = len(partitions) > deferThreshold
 	if f.isDeferred() {
 		return nil, errDeferred
 	}
@@ -374,8 +376,8 @@
 	}
 }
 
-// readPartition reads all rows of a partition; the version is that of its
-// first page, so that changes made meanwhile are seen again.
+// readPartition reads all rows of a partition. The version is that of the first page, so
+// that changes during the read are returned by the next watch.
 func (f *Follower) readPartition(ctx context.Context, partition string) ([]Row, Version, error) {
 	rows := []Row{}
 	version := Version(-1)
--- a/internal/table/follower_test.go
+++ b/internal/table/follower_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	followed = "followed"
-	patience = 20 * time.Second
-	pollTime = 5 * time.Millisecond
+	followedTable = "followed"
+	testTimeout   = 20 * time.Second
+	pollTime      = 5 * time.Millisecond
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// recorder keeps the rows that a follower hands on, and every version of the
-// row "counter" in order.
+// recorder keeps the rows that a follower passes on, and all values of the row
+// "counter" in order.
 type recorder struct {
 	mutex   sync.Mutex
 	rows    map[string]string
@@ -72,13 +72,13 @@
 
 func remove(t *testing.T, store *tabletest.Memory, key string) {
 	t.Helper()
-	_, err := store.Commit(t.Context(), table.Transaction{Removals: []table.Removal{{Table: followed, Key: key}}})
+	_, err := store.Commit(t.Context(), table.Transaction{Removals: []table.Removal{{Table: followedTable, Key: key}}})
 	require.NoError(t, err)
 }
 
 func put(t *testing.T, store *tabletest.Memory, partition, key, value string) {
 	t.Helper()
-	_, err := store.Commit(t.Context(), table.Transaction{Partition: partition, Writes: []table.Write{{Table: followed, Key: key, Value: []byte(value)}}})
+	_, err := store.Commit(t.Context(), table.Transaction{Partition: partition, Writes: []table.Write{{Table: followedTable, Key: key, Value: []byte(value)}}})
 	require.NoError(t, err)
 }
 
@@ -86,27 +86,26 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	follower := &table.Follower{Store: store, Table: followed, Consumer: consumer, Logger: quiet, Wait: 50 * time.Millisecond, Partitioned: true}
+	follower := &table.Follower{Store: store, Table: followedTable, Consumer: consumer, Logger: discardLogger, Wait: 50 * time.Millisecond, Partitioned: true}
 	go follower.Run(ctx)
 }
 
-// TestFollowerSeesChangesOfAllPartitions: rows that exist, that change and
-// that go, in any partition.
+// TestFollowerSeesChangesOfAllPartitions guards against missing existing, added or removed
+// rows in any partition.
 func TestFollowerSeesChangesOfAllPartitions(t *testing.T) {
 	store, seen := tabletest.NewMemory(), &recorder{}
 	put(t, store, "p1", "a", "1")
 	follow(t, table.NewMonotonic(store), seen)
-	require.Eventually(t, func() bool { return seen.value("a") == "1" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("a") == "1" }, testTimeout, pollTime)
 	put(t, store, "p2", "b", "2")
-	require.Eventually(t, func() bool { return seen.value("b") == "2" }, patience, pollTime)
-	_, err := store.Commit(t.Context(), table.Transaction{Partition: "p1", Removals: []table.Removal{{Table: followed, Key: "a"}}})
+	require.Eventually(t, func() bool { return seen.value("b") == "2" }, testTimeout, pollTime)
+	_, err := store.Commit(t.Context(), table.Transaction{Partition: "p1", Removals: []table.Removal{{Table: followedTable, Key: "a"}}})
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return seen.value("a") == "" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("a") == "" }, testTimeout, pollTime)
 }
 
-// TestFollowerNeverGoesBack: while the store forgets its history, gives stale
-// reads and refuses calls, what is handed on only rises, and the end is
-// reached.
+// TestFollowerNeverGoesBack guards against passing on an older state while the store
+// compacts, serves stale reads and refuses calls, and against missing the final state.
 func TestFollowerNeverGoesBack(t *testing.T) {
 	store, seen := tabletest.NewMemory(), &recorder{}
 	put(t, store, "", "counter", "0000")
@@ -132,53 +131,53 @@
 		time.Sleep(3 * time.Millisecond)
 		store.SetDecide(nil)
 	}
-	require.Eventually(t, func() bool { return seen.value("counter") == "0030" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("counter") == "0030" }, testTimeout, pollTime)
 	seen.mutex.Lock()
 	defer seen.mutex.Unlock()
 	for index := 1; index < len(seen.counter); index++ {
-		require.LessOrEqual(t, seen.counter[index-1], seen.counter[index], "state handed on went back")
+		require.LessOrEqual(t, seen.counter[index-1], seen.counter[index], "an older state was passed on")
 	}
 }
 
-// TestStaleReadIsRefused: a process never takes a state older than one it saw.
+// TestStaleReadIsRefused guards against reading a state older than one already seen.
 func TestStaleReadIsRefused(t *testing.T) {
 	memory := tabletest.NewMemory()
 	store := table.NewMonotonic(memory)
 	put(t, memory, "", "a", "1")
 	memory.Freeze()
 	put(t, memory, "", "a", "2")
-	_, err := store.Watch(t.Context(), followed, 1, time.Second)
+	_, err := store.Watch(t.Context(), followedTable, 1, time.Second)
 	require.NoError(t, err)
-	_, err = store.Read(t.Context(), table.Range{Table: followed})
+	_, err = store.Read(t.Context(), table.Range{Table: followedTable})
 	var failed *table.Error
 	require.ErrorAs(t, err, &failed)
 	require.Equal(t, table.ErrorNotDone, failed.Kind)
 	memory.Thaw()
-	page, err := store.Read(t.Context(), table.Range{Table: followed})
+	page, err := store.Read(t.Context(), table.Range{Table: followedTable})
 	require.NoError(t, err)
 	require.Len(t, page.Rows, 1)
 	require.Equal(t, "2", string(page.Rows[0].Value))
 }
 
-// TestPacedFollowerAsksLessOftenAndMissesNothing: many changes cost calls by
-// the time that they take and not by their number.
-func TestPacedFollowerAsksLessOftenAndMissesNothing(t *testing.T) {
+// TestPaceLimitsWatches guards against a call for each change, and against lost changes,
+// when calls are rate limited.
+func TestPaceLimitsWatches(t *testing.T) {
 	const changes, perSecond, burst = 300, 20, 2
 	store := &countingStore{Memory: tabletest.NewMemory()}
 	seen := &recorder{rows: map[string]string{}}
 	follower := &table.Follower{
-		Store: store, Table: followed, Consumer: seen, Logger: quiet, Wait: 50 * time.Millisecond, Pace: rate.NewLimiter(perSecond, burst),
+		Store: store, Table: followedTable, Consumer: seen, Logger: discardLogger, Wait: 50 * time.Millisecond, Pace: rate.NewLimiter(perSecond, burst),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	started := time.Now()
 	go follower.Run(ctx)
 	for number := range changes {
-		_, err := store.Commit(ctx, table.Transaction{Writes: []table.Write{{Table: followed, Key: "counter", Value: []byte(fmt.Sprint(number))}}})
+		_, err := store.Commit(ctx, table.Transaction{Writes: []table.Write{{Table: followedTable, Key: "counter", Value: []byte(fmt.Sprint(number))}}})
 		require.NoError(t, err)
 		time.Sleep(time.Millisecond)
 	}
-	require.Eventually(t, func() bool { return seen.value("counter") == fmt.Sprint(changes-1) }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("counter") == fmt.Sprint(changes-1) }, testTimeout, pollTime)
 	cancel()
 	allowed := burst + perSecond*time.Since(started).Seconds() + 1
 	require.LessOrEqual(t, float64(store.watches.Load()), allowed)
--- a/internal/table/forwarding.go
+++ b/internal/table/forwarding.go
@@ -12,42 +12,41 @@
 )
 
 const (
-	// probeInterval is the pause between two looks whether the store serves this
-	// daemon again, and probeTimeout bounds one: a slow store answers in half of
-	// it.
+	// probeInterval is the mean interval between two probes while the store does not
+	// serve this daemon.
 	probeInterval = 500 * time.Millisecond
-	probeTimeout  = 500 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// Forwarding is a store that is called through another daemon while it does not
-// serve this one: it may refuse, throttle or drop some daemons and serve the
-// others. Watches are never forwarded. mutex guards the fields behind it.
+// Forwarding calls the store directly, or through another daemon while the store
+// does not serve this one. The store may refuse, throttle or drop the calls of some
+// daemons only. Watches are never forwarded. mutex guards the fields below it.
 type Forwarding struct {
-	// Direct is the store as this daemon reaches it.
+	// Direct calls the store from this daemon.
 	Direct Store
-	// Peers makes calls through other daemons. A daemon that cannot help
-	// answers ErrorNotDone.
+	// Peers makes calls through other daemons. It returns ErrorNotDone if no daemon can
+	// make the call.
 	Peers Store
-	// HasPeers tells whether there are other daemons.
+	// HasPeers reports whether there are other daemons.
 	HasPeers func() bool
-	// ProbeTable is a table that is read to find out whether the store serves
-	// this daemon again.
+	// ProbeTable is the table that probes read.
 	ProbeTable string
 	Logger     *slog.Logger
 
-	// lost is signalled when the store stops to serve this daemon.
+	// lost is signaled when the store stops serving this daemon.
 	lost chan struct{}
 
 	mutex  sync.Mutex
 	isLost bool
-	// answeredAt is when the store itself last answered a call.
+	// answeredAt is when the store last answered a direct call.
 	answeredAt time.Time
 }
 
 var _ Store = (*Forwarding)(nil)
 
-// NewForwarding returns a store that calls the store itself, or peers. Run finds
-// out when the store serves this daemon again.
+// NewForwarding returns a store that calls direct, or peers while direct fails. Run must
+// run for direct calls to resume.
 func NewForwarding(direct, peers Store, probeTable string, logger *slog.Logger) *Forwarding {
 	return &Forwarding{
 		Direct: direct, Peers: peers, HasPeers: func() bool { return false }, ProbeTable: probeTable, Logger: logger,
@@ -55,8 +54,8 @@
 	}
 }
 
-// Run reads a row now and then while the store does not serve this daemon, until
-// the context ends.
+// Run probes the store periodically while it does not serve this daemon, until the
+// context ends.
 func (f *Forwarding) Run(ctx context.Context) {
 	for {
 		select {
@@ -70,22 +69,22 @@
 	}
 }
 
-// IsServed reports whether the store serves this daemon, as far as is known.
+// IsServed reports whether the store serves this daemon, by the last call or probe.
 func (f *Forwarding) IsServed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return !f.isLost
 }
 
-// hasAnswered reports whether the store itself has answered lately.
-func (f *Forwarding) hasAnswered() bool {
+// hasAnsweredRecently reports whether the store answered a direct call within recentAnswerTime.
+func (f *Forwarding) hasAnsweredRecently() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return time.Since(f.answeredAt) < answerAge
+	return time.Since(f.answeredAt) < recentAnswerTime
 }
 
-// note learns from a call to the store itself.
-func (f *Forwarding) note(err error) {
+// recordResult updates the state from the result of a direct call.
+func (f *Forwarding) recordResult(err error) {
 	isLost := isUnserved(err)
 	f.mutex.Lock()
 	wasLost := f.isLost
@@ -104,7 +103,7 @@
 	}
 }
 
-// probe finds out once whether the store serves this daemon again.
+// probe reads one row and resumes direct calls if the store answers.
 func (f *Forwarding) probe(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -118,7 +117,8 @@
 	f.Logger.Info("store_path_regained")
 }
 
-// isUnserved tells calls that the store did not serve from those it answered.
+// isUnserved reports whether an error means that the store did not serve the call. Other
+// errors, such as conflicts, are answers.
 func isUnserved(err error) bool {
 	var failed *Error
 	if !errors.As(err, &failed) {
@@ -134,28 +134,26 @@
 }
 
 const (
-	// directShare is the part, as one in so many, of a call's time in which the
-	// store itself must answer while other daemons could be asked: a store that
-	// drops this daemon's calls says nothing.
+	// directShare divides a call's remaining time: a direct call gets one part of
+	// directShare, the rest is left for a call through a peer.
 	directShare = 2
-	// answerAge is how long an answer shows that the store serves this daemon. A
-	// store that is slow needs a call's whole time, and a call that is made again
-	// makes it slower.
-	answerAge = 3 * time.Second
+	// recentAnswerTime is how long after an answer a direct call gets its full time. It
+	// avoids repeated calls to a store that is slow.
+	recentAnswerTime = 3 * time.Second
 )
 
-// directContext bounds a call to the store itself.
+// directContext bounds a direct call.
 func (f *Forwarding) directContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, isBounded := ctx.Deadline()
-	if !isBounded || !f.HasPeers() || f.hasAnswered() {
+	if !isBounded || !f.HasPeers() || f.hasAnsweredRecently() {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, time.Until(deadline)/directShare)
 }
 
-// forward makes a call at the store or, while that does not serve this daemon,
-// through another. A call that may have been carried out is not made again
-// unless it only reads.
+// forward makes a call directly or, while the store does not serve this daemon, through
+// a peer. A call that may have been carried out is repeated only if isRead is set, that
+// is, if it is idempotent.
 func forward[A any](ctx context.Context, f *Forwarding, isRead bool, call func(context.Context, Store) (A, error)) (A, error) {
 	if !f.IsServed() {
 		answer, err := call(ctx, f.Peers)
@@ -166,7 +164,7 @@
 	bounded, cancel := f.directContext(ctx)
 	defer cancel()
 	answer, err := call(bounded, f.Direct)
-	f.note(err)
+	f.recordResult(err)
 	mayRepeat := isNotDone(err) || (isRead && isUnserved(err))
 	if !mayRepeat {
 		return answer, err
@@ -206,11 +204,11 @@
 // Watch implements Store.
 func (f *Forwarding) Watch(ctx context.Context, table string, after Version, wait time.Duration) (Changes, error) {
 	changes, err := f.Direct.Watch(ctx, table, after, wait)
-	f.note(err)
+	f.recordResult(err)
 	return changes, err
 }
 
-// PutObject implements Store. Putting the same object twice does no harm.
+// PutObject implements Store. It is idempotent, so it may be repeated.
 func (f *Forwarding) PutObject(ctx context.Context, name string, content []byte) error {
 	_, err := forward(ctx, f, true, func(ctx context.Context, store Store) (struct{}, error) {
 		return struct{}{}, store.PutObject(ctx, name, content)
--- a/internal/table/forwarding_test.go
+++ b/internal/table/forwarding_test.go
@@ -11,7 +11,7 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// faultyStore counts the calls that reach a store.
+// faultyStore counts its calls and answers them with a fault.
 type faultyStore struct {
 	*tabletest.Memory
 	fault tabletest.Fault
@@ -29,7 +29,7 @@
 
 func newForwarding(t *testing.T, direct, peers table.Store) *table.Forwarding {
 	t.Helper()
-	made := table.NewForwarding(direct, peers, "t", quiet)
+	made := table.NewForwarding(direct, peers, "t", discardLogger)
 	go made.Run(t.Context())
 	return made
 }
@@ -38,9 +38,9 @@
 	return table.Transaction{Conditions: []table.Condition{{Table: "t", Key: key}}, Writes: []table.Write{{Table: "t", Key: key, Value: []byte(key)}}}
 }
 
-// TestCallsGoThroughPeersWhileTheStoreRefuses: at once, without a further try at
-// the store, and to the store again once it serves this daemon.
-func TestCallsGoThroughPeersWhileTheStoreRefuses(t *testing.T) {
+// TestCallsAreForwardedWhileStoreRefuses guards against failed or repeated direct calls while
+// the store refuses this daemon, and against forwarding after it serves the daemon again.
+func TestCallsAreForwardedWhileStoreRefuses(t *testing.T) {
 	direct, peers := newFaultyStore(), newFaultyStore()
 	store := newForwarding(t, direct, peers)
 	direct.fault = tabletest.FaultRefuse
@@ -53,15 +53,15 @@
 	require.Len(t, page.Rows, 1)
 	require.Equal(t, 2, peers.calls)
 	direct.SetDecide(nil)
-	require.Eventually(t, store.IsServed, patience, pollTime)
+	require.Eventually(t, store.IsServed, testTimeout, pollTime)
 	_, err = store.Commit(t.Context(), insert("b"))
 	require.NoError(t, err)
 	require.Equal(t, 2, peers.calls)
 }
 
-// TestCommitOfUnknownOutcomeIsNotMadeAgain: only who asked knows whether that is
-// harmless.
-func TestCommitOfUnknownOutcomeIsNotMadeAgain(t *testing.T) {
+// TestUnknownCommitIsNotRepeated guards against repeating a commit that may have been
+// carried out.
+func TestUnknownCommitIsNotRepeated(t *testing.T) {
 	direct, peers := newFaultyStore(), newFaultyStore()
 	store := newForwarding(t, direct, peers)
 	direct.fault = tabletest.FaultLose
@@ -72,9 +72,9 @@
 	require.Zero(t, peers.calls)
 }
 
-// TestStoreThatServesNobodyIsTriedItself: when no other daemon can help, the
-// error is the store's own.
-func TestStoreThatServesNobodyIsTriedItself(t *testing.T) {
+// TestDirectErrorIsReturnedWithoutPeers guards against hiding the store's error when no peer
+// can make the call.
+func TestDirectErrorIsReturnedWithoutPeers(t *testing.T) {
 	direct, peers := newFaultyStore(), newFaultyStore()
 	store := newForwarding(t, direct, peers)
 	direct.fault, peers.fault = tabletest.FaultThrottle, tabletest.FaultRefuse
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestConflictsAreAnswers and no sign of a store that does not serve.
+// TestConflictsAreAnswers guards against taking a conflict for a store that does not serve.
 func TestConflictsAreAnswers(t *testing.T) {
 	direct, peers := newFaultyStore(), newFaultyStore()
 	store := newForwarding(t, direct, peers)
@@ -98,21 +98,21 @@
 	require.True(t, store.IsServed())
 }
 
-// silentStore answers nothing until a call's time is over.
-type silentStore struct{ *tabletest.Memory }
+// unresponsiveStore doesn't answer reads until their deadline.
+type unresponsiveStore struct{ *tabletest.Memory }
 
-func (silentStore) Read(ctx context.Context, _ table.Range) (table.Page, error) {
+func (unresponsiveStore) Read(ctx context.Context, _ table.Range) (table.Page, error) {
 	<-ctx.Done()
 	return table.Page{}, &table.Error{Kind: table.ErrorUnknown, Call: "read", Cause: ctx.Err()}
 }
 
-// TestSilentStoreLeavesTimeForPeers: a read that the store does not answer is
-// made through another daemon within the time of the same call.
-func TestSilentStoreLeavesTimeForPeers(t *testing.T) {
+// TestUnresponsiveStoreLeavesTimeForPeers guards against using a call's entire time for a
+// store that doesn't answer.
+func TestUnresponsiveStoreLeavesTimeForPeers(t *testing.T) {
 	peers := newFaultyStore()
 	_, err := peers.Commit(t.Context(), insert("a"))
 	require.NoError(t, err)
-	store := newForwarding(t, silentStore{tabletest.NewMemory()}, peers)
+	store := newForwarding(t, unresponsiveStore{tabletest.NewMemory()}, peers)
 	store.HasPeers = func() bool { return true }
 	bounded, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -121,7 +121,7 @@
 	require.Len(t, page.Rows, 1)
 }
 
-// slowStore answers reads after most of a call's time.
+// slowStore answers reads after a pause.
 type slowStore struct {
 	*tabletest.Memory
 	pause time.Duration
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestSlowStoreHasTheWholeTime: one that has answered lately is waited for, and
-// its calls are not made again through others.
-func TestSlowStoreHasTheWholeTime(t *testing.T) {
+// TestSlowStoreGetsFullTime guards against forwarding a slow call to a store that has
+// answered recently.
+func TestSlowStoreGetsFullTime(t *testing.T) {
 	peers, slow := newFaultyStore(), &slowStore{Memory: tabletest.NewMemory()}
 	store := newForwarding(t, slow, peers)
 	store.HasPeers = func() bool { return true }
--- a/internal/table/keyspace.go
+++ b/internal/table/keyspace.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// Keyspace is a guess how the keys of a table are spread, from the first of them: behind a
-// common beginning, evenly over the words of an alphabet. Only balance rests on it: where
-// it is wrong, sections begin at other keys than they should.
+// Keyspace is an estimate of how a table's keys are distributed: a common prefix,
+// followed by digits that are uniform over an alphabet. A wrong estimate only makes the
+// sections uneven.
 type Keyspace struct {
 	prefix   string
 	alphabet []byte
-	// digits is how many letters behind the prefix are told apart.
+	// digits is the number of bytes after the prefix that are considered.
 	digits int
 }
 
-// mostDigits bounds the letters that are told apart: fractions are exact for as many of 16
-// each.
-const mostDigits = 12
+// maxDigits bounds Keyspace.digits. Fractions of 12 hexadecimal digits are exact in a
+// float64.
+const maxDigits = 12
 
-// KeyspaceOf guesses from the first keys of a table, in their order. The first keys also
-// share leading letters by which later ones differ; those belong to the alphabet.
+// KeyspaceOf estimates the keyspace from the first keys of a table in key order. Trailing
+// bytes of their common prefix that are in the alphabet count as digits, because later keys
+// may differ in them.
 func KeyspaceOf(first []string) Keyspace {
 	if len(first) == 0 {
 		return Keyspace{}
@@ -28,12 +29,12 @@
 	shared := commonPrefix(first[0], first[len(first)-1])
 	space := Keyspace{}
 	for position := len(shared); ; position++ {
-		letters, isInside := lettersAt(first, position)
-		if !isInside {
+		distinct, isLongEnough := bytesAt(first, position)
+		if !isLongEnough {
 			break
 		}
-		if len(letters) > 1 {
-			space.alphabet = append(space.alphabet, letters...)
+		if len(distinct) > 1 {
+			space.alphabet = append(space.alphabet, distinct...)
 			space.digits = position + 1
 		}
 	}
@@ -44,20 +45,20 @@
 		fixed--
 	}
 	space.prefix = shared[:fixed]
-	space.digits = min(max(space.digits-fixed, 0), mostDigits)
+	space.digits = min(max(space.digits-fixed, 0), maxDigits)
 	return space
 }
 
-// lettersAt returns the different letters that keys have at a position, and whether any key
-// is that long.
-func lettersAt(keys []string, position int) (letters []byte, isInside bool) {
+// bytesAt returns the distinct bytes of the keys at a position, and whether any key is
+// long enough.
+func bytesAt(keys []string, position int) (distinct []byte, isLongEnough bool) {
 	for _, key := range keys {
 		if position < len(key) {
-			letters = append(letters, key[position])
+			distinct = append(distinct, key[position])
 		}
 	}
-	slices.Sort(letters)
-	return slices.Compact(letters), len(letters) > 0
+	slices.Sort(distinct)
+	return slices.Compact(distinct), len(distinct) > 0
 }
 
 func commonPrefix(a, b string) string {
@@ -68,7 +69,7 @@
 	return a[:length]
 }
 
-// At returns the key at a fraction, from 0 to below 1, of all that may be.
+// At returns the key at a fraction of the keyspace, in [0, 1).
 func (k Keyspace) At(fraction float64) string {
 	var key strings.Builder
 	key.WriteString(k.prefix)
@@ -82,10 +83,10 @@
 	return key.String()
 }
 
-// Fraction returns how large a part of all keys that may be lies before a key.
+// Fraction returns the fraction of the keyspace before a key, in [0, 1].
 func (k Keyspace) Fraction(key string) float64 {
-	rest, isInside := strings.CutPrefix(key, k.prefix)
-	if !isInside {
+	rest, hasPrefix := strings.CutPrefix(key, k.prefix)
+	if !hasPrefix {
 		if key < k.prefix {
 			return 0
 		}
@@ -100,17 +101,17 @@
 	return min(fraction, 1)
 }
 
-// Estimate returns how many rows a table has of which these are the first keys.
+// Estimate returns the estimated number of rows of a table with these first keys.
 func (k Keyspace) Estimate(first []string) float64 {
 	if len(first) == 0 {
 		return 0
 	}
-	reached := k.Fraction(first[len(first)-1])
-	if reached <= 0 {
-		return mostEstimated
+	lastFraction := k.Fraction(first[len(first)-1])
+	if lastFraction <= 0 {
+		return maxEstimate
 	}
-	return min(float64(len(first))/reached, mostEstimated)
+	return min(float64(len(first))/lastFraction, maxEstimate)
 }
 
-// mostEstimated stands for more rows than any table has.
-const mostEstimated = 1e12
+// maxEstimate bounds the result of Estimate.
+const maxEstimate = 1e12
--- a/internal/table/monotonic.go
+++ b/internal/table/monotonic.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// Monotonic is a store whose reads never go back: a read of a state older than
-// one that any earlier call returned, here or at a daemon that told, fails as
-// not done.
+// Monotonic wraps a store so that reads never go back: a read of a version older than
+// one returned by an earlier call or passed to Raise fails with ErrorNotDone.
 type Monotonic struct {
 	Store
-	// Tell receives each newest version; nil means that nobody is told. It must
-	// not block, and is set before the first call.
-	Tell func(version Version)
+	// OnVersion is called with each new highest version; nil means no call. It must not
+	// block and must be set before the first call.
+	OnVersion func(version Version)
 
 	seen atomic.Int64
 }
@@ -21,18 +20,18 @@
 // NewMonotonic wraps a store.
 func NewMonotonic(store Store) *Monotonic { return &Monotonic{Store: store} }
 
-// Raise takes note of a version that exists: reads of older states fail.
+// Raise records that a version exists. Later reads of older versions fail.
 func (m *Monotonic) Raise(version Version) {
 	for {
-		present := m.seen.Load()
-		if int64(version) <= present {
+		highest := m.seen.Load()
+		if int64(version) <= highest {
 			return
 		}
-		if !m.seen.CompareAndSwap(present, int64(version)) {
+		if !m.seen.CompareAndSwap(highest, int64(version)) {
 			continue
 		}
-		if m.Tell != nil {
-			m.Tell(version)
+		if m.OnVersion != nil {
+			m.OnVersion(version)
 		}
 		return
 	}
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Replica keeps a copy of a followed table, for daemons that cannot reach the
-// store, and hands everything on. mutex guards rows and version.
+// Replica is a Consumer that keeps a copy of a followed table, or of a section of it, for
+// other daemons, and passes all rows on to its own Consumer. mutex guards the fields below
+// it.
 type Replica struct {
 	Consumer Consumer
 
@@ -17,19 +18,17 @@
 	section Section
 	rows    map[replicaKey]Row
 	version Version
-	// recent are the latest changes in order; all that came after the version
-	// recentAfter are among them.
+	// recent are the latest changes in order, complete since version recentAfter.
 	recent      []Row
 	recentAfter Version
-	// rowsVersion is the version at which rows last changed, and changed is
-	// closed when they change next.
+	// rowsVersion is the version at which rows changed last. changed is closed at the
+	// next change.
 	rowsVersion Version
 	changed     chan struct{}
 }
 
-// recentRows bounds the changes that are kept for daemons that follow the copy:
-// what some thousand backends change within a few seconds.
-const recentRows = 4096
+// maxRecentRows bounds the changes kept for daemons that follow the copy.
+const maxRecentRows = 4096
 
 type replicaKey struct{ partition, key string }
 
@@ -40,24 +39,24 @@
 func (r *Replica) Keep(rows []Row, version Version, missed []Row, isGapless bool) {
 	r.mutex.Lock()
 	r.rows = map[replicaKey]Row{}
-	r.keep(rows, version)
+	r.store(rows, version)
 	if isGapless {
-		r.remember(missed)
+		r.addRecent(missed)
 	} else {
 		r.recent, r.recentAfter = nil, version
 	}
-	r.announce()
+	r.notifyChanged()
 	r.mutex.Unlock()
 	r.Consumer.Replace(rows, version)
 }
 
-// Change implements Consumer. All changes are remembered for daemons that follow this
-// one, and those of the section are kept.
+// Change implements Consumer. All changes are added to the recent ones; only rows of the
+// section are stored and passed on.
 func (r *Replica) Change(rows []Row, version Version) {
 	r.mutex.Lock()
 	kept := r.section.Of(rows)
-	r.keep(kept, version)
-	r.remember(rows)
+	r.store(kept, version)
+	r.addRecent(rows)
 	r.mutex.Unlock()
 	r.Consumer.Change(kept, version)
 }
@@ -69,19 +68,19 @@
 	r.section = section
 }
 
-// ChangePart implements SectionConsumer. Changes of the rest of the table are not known, so that
-// none up to this version can be told to others.
+// ChangePart implements SectionConsumer. Changes in the rest of the table are not known, so
+// the recent changes are incomplete up to this version and are dropped.
 func (r *Replica) ChangePart(rows []Row, version Version) {
 	r.mutex.Lock()
-	r.keep(rows, version)
+	r.store(rows, version)
 	r.recent, r.recentAfter = nil, version
-	r.announce()
+	r.notifyChanged()
 	r.mutex.Unlock()
 	r.Consumer.Change(rows, version)
 }
 
-// keep stores rows. mutex must be held.
-func (r *Replica) keep(rows []Row, version Version) {
+// store applies rows to the copy. mutex must be held.
+func (r *Replica) store(rows []Row, version Version) {
 	if r.rows == nil {
 		r.rows = map[replicaKey]Row{}
 	}
@@ -96,8 +95,8 @@
 	r.version = version
 }
 
-// announce wakes those that wait for changed rows. mutex must be held.
-func (r *Replica) announce() {
+// notifyChanged wakes the callers that wait for changed rows. mutex must be held.
+func (r *Replica) notifyChanged() {
 	r.rowsVersion = r.version
 	if r.changed != nil {
 		close(r.changed)
@@ -105,28 +104,27 @@
 	}
 }
 
-// remember keeps changes for daemons that follow the copy. mutex must be held.
-func (r *Replica) remember(rows []Row) {
+// addRecent adds changes for daemons that follow the copy. mutex must be held.
+func (r *Replica) addRecent(rows []Row) {
 	if len(rows) == 0 {
 		return
 	}
-	r.announce()
+	r.notifyChanged()
 	r.recent = append(r.recent, rows...)
-	if surplus := len(r.recent) - recentRows; surplus > 0 {
+	if surplus := len(r.recent) - maxRecentRows; surplus > 0 {
 		r.recentAfter = r.recent[surplus-1].Version
 		r.recent = append([]Row(nil), r.recent[surplus:]...)
 	}
 }
 
-// Changed returns a channel that is closed once rows have changed behind a
-// version.
+// Changed returns a channel that is closed once rows have changed after a version.
 func (r *Replica) Changed(after Version) <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.rowsVersion > after {
-		isNewer := make(chan struct{})
-		close(isNewer)
-		return isNewer
+		closed := make(chan struct{})
+		close(closed)
+		return closed
 	}
 	if r.changed == nil {
 		r.changed = make(chan struct{})
@@ -134,9 +132,8 @@
 	return r.changed
 }
 
-// ChangesSince returns what changed behind a version, or the whole table when
-// the changes are not kept so far back. It reports false if only a part of the table is
-// kept in that case.
+// ChangesSince returns the changes after a version. If they are no longer kept, it returns
+// all rows with isWhole set, or isKnown false if only a section is kept.
 func (r *Replica) ChangesSince(after Version) (changes Changes, isWhole, isKnown bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -152,8 +149,8 @@
 	return changes, true, true
 }
 
-// SectionSince returns what changed in a section behind a version. It reports false if
-// changes are not kept so far back.
+// SectionSince returns the changes in a section after a version. It reports false if they
+// are no longer kept.
 func (r *Replica) SectionSince(section Section, after Version) (changes Changes, isKnown bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -165,7 +162,7 @@
 	return changes, true
 }
 
-// recentSince returns the latest changes behind a version. mutex must be held.
+// recentSince returns the recent changes after a version. mutex must be held.
 func (r *Replica) recentSince(after Version) []Row {
 	from := sort.Search(len(r.recent), func(index int) bool { return r.recent[index].Version > after })
 	return r.recent[from:]
@@ -180,8 +177,7 @@
 	return rows
 }
 
-// Since returns the version of the copy, and all rows if it is newer than a
-// version.
+// Since returns the version of the copy, and all its rows if that is newer than after.
 func (r *Replica) Since(after Version) (rows []Row, version Version, isNewer bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -198,33 +194,33 @@
 	return len(r.rows)
 }
 
-// Section returns the part of the table that is kept.
+// Section returns the section of the table that is kept.
 func (r *Replica) Section() Section {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.section
 }
 
-// Peers is the second source of a followed table: the copies of other daemons.
+// Peers returns the copies of a followed table that other daemons keep.
 type Peers interface {
-	// Newer returns the copy of a daemon that holds a version above the given one,
-	// if some daemon that was asked does, else the copy that was confirmed last.
-	// It reports false when no daemon answered.
+	// Newer returns the copy of a daemon whose version is higher than after. If no
+	// queried daemon has one, it returns the most recently confirmed copy. It reports
+	// false if no daemon answered.
 	Newer(ctx context.Context, table string, after Version) (PeerCopy, bool)
-	// NewerPart is Newer for a table of which daemons may keep a section each.
+	// NewerPart is Newer for a table of which each daemon may keep only a section.
 	NewerPart(ctx context.Context, table string, after Version) (PeerCopy, bool)
 }
 
 // PeerCopy is another daemon's copy of a table.
 type PeerCopy struct {
-	// Rows are the whole table, or the section, if IsNewer is set, else none.
+	// Rows are all rows of the copy if IsNewer is set, else none.
 	Rows []Row
-	// Section is the part of the table that the copy has, and Width how much of all keys.
+	// Section is the section that the copy has, and Width its fraction of all keys.
 	Section Section
 	Width   float64
 	IsNewer bool
 	Version Version
-	// Age is for how long, when the call came, the other daemon's copy may not have
-	// been the present state.
+	// Age is the age of the copy when the other daemon received the call (see
+	// Follower.Age).
 	Age time.Duration
 }
--- a/internal/table/resize.go
+++ b/internal/table/resize.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// resizePause is the shortest time between two reads of more or less of a table.
+// resizePause is the minimum time between two resizes.
 const resizePause = time.Second
 
-// resize reads the table again if what is kept of it has become too little, or if a table
-// that is kept as a whole has grown. What is kept serves on while that fails.
-func (f *Follower) resize(ctx context.Context, inStep bool) {
+// resize reads the table again if the section has become too small or too large, or if a
+// table that is kept entirely has grown too large. If that fails, the present rows stay.
+func (f *Follower) resize(ctx context.Context, isSynced bool) {
 	section, _, isKnown := f.Section()
-	if !inStep || !isKnown || time.Now().Before(f.resizeAfter) {
+	if !isSynced || !isKnown || time.Now().Before(f.resizeAfter) {
 		return
 	}
-	if !f.hasOutgrown(section) && !(section.IsPart && f.Plan.WantsMore()) {
+	if !f.isTooLarge(section) && !(section.IsPart && f.Plan.WantsMore()) {
 		return
 	}
 	f.resizeAfter = time.Now().Add(resizePause)
-	if err := f.readAgain(ctx); err != nil {
+	if err := f.reread(ctx); err != nil {
 		f.Logger.Info("table_not_resized", "table", f.Table, "version", f.seen, "error", err)
 	}
 }
 
-// readAgain reads the table again while it is followed. An upstream also asks for the
-// changes up to what was read, so that what it tells its followers has no gap.
-func (f *Follower) readAgain(ctx context.Context) error {
+// reread reads the table again while it is followed. An upstream also fetches the changes
+// up to the version read, so that its followers receive them without a gap.
+func (f *Follower) reread(ctx context.Context) error {
 	made, err := f.readSection(ctx)
 	if err != nil {
 		return err
@@ -41,14 +41,14 @@
 			return err
 		}
 	}
-	f.setSection(made.held)
+	f.setSection(made.kept)
 	f.Part.Keep(made.rows, made.version, missed, isUpstream)
 	f.seen, f.isUnconfirmed = made.version, true
-	f.Logger.Info("table_read", "table", f.Table, "version", made.version, "rows", len(made.rows), "is_part", made.held.IsPart, "width", made.held.width)
+	f.Logger.Info("table_read", "table", f.Table, "version", made.version, "rows", len(made.rows), "is_part", made.kept.IsPart, "width", made.kept.width)
 	return nil
 }
 
-// changesUntil returns the changes of the whole table behind what was seen and up to a
+// changesUntil returns the changes of the entire table after the version seen, up to a
 // version.
 func (f *Follower) changesUntil(ctx context.Context, until Version) ([]Row, error) {
 	all, after := []Row{}, f.seen
@@ -72,12 +72,12 @@
 	return all, nil
 }
 
-// hasOutgrown reports whether much more is kept than should be: entries were added since it
-// was read.
-func (f *Follower) hasOutgrown(section Section) bool {
+// isTooLarge reports whether many more rows are kept than wanted, because rows were added
+// since the table was read.
+func (f *Follower) isTooLarge(section Section) bool {
 	rows := f.Part.Rows()
 	if section.IsPart {
 		return f.Plan.WantsLess(rows)
 	}
-	return rows > outgrownRows
+	return rows > maxFullTableRows
 }
--- a/internal/table/section.go
+++ b/internal/table/section.go
@@ -1,14 +1,14 @@
 package table
 
-// Section is a part of the keys of an unpartitioned table, in their order around a ring:
-// those from From on and before Before, beyond the last key and on from the first where
-// Before does not lie behind From. The zero value is the whole table.
+// Section is a range of the keys of an unpartitioned table, ordered as a ring: the keys in
+// [From, Before). If Before is not greater than From, the range wraps around the last key.
+// The zero value is the entire table.
 type Section struct {
-	// IsPart tells that it is not the whole table.
+	// IsPart is false for the entire table.
 	IsPart bool
 	From   string
-	// Before is the first key behind the section; empty means that it ends with the last
-	// key.
+	// Before is the first key after the section; empty means that the section ends with
+	// the last key.
 	Before string
 }
 
@@ -30,40 +30,40 @@
 	if !s.IsPart {
 		return rows
 	}
-	held := make([]Row, 0, len(rows))
+	contained := make([]Row, 0, len(rows))
 	for _, row := range rows {
 		if s.Holds(row.Key) {
-			held = append(held, row)
+			contained = append(contained, row)
 		}
 	}
-	return held
+	return contained
 }
 
-// SectionPlan decides how much of a large table a follower keeps. Its methods are called
-// from the follower's goroutine.
+// SectionPlan decides which section of a large table a follower keeps. Its methods are
+// called from the follower's goroutine.
 type SectionPlan interface {
-	// Place is where the section begins on the ring of keys, from 0 to below 1.
-	Place() float64
-	// IsEnough reports whether the rows that were read so far are enough of a section.
+	// Position is where the section begins on the ring of keys, in [0, 1).
+	Position() float64
+	// IsEnough reports whether the rows read so far are enough for a section.
 	IsEnough(rows []Row) bool
-	// WantsMore reports whether what is kept has become too little, and WantsLess whether
-	// so many rows are more than is wanted by far.
+	// WantsMore reports whether the section has become too small.
 	WantsMore() bool
+	// WantsLess reports whether this number of rows is far too large for a section.
 	WantsLess(rows int) bool
 }
 
 // SectionConsumer is a consumer of a section of a table.
 type SectionConsumer interface {
 	Consumer
-	// SetSection tells of which section the next rows are.
+	// SetSection sets the section that the next rows belong to.
 	SetSection(section Section)
-	// ChangePart receives the changes of the section and no others, as another daemon
-	// chose them. Change receives those of the whole table.
+	// ChangePart receives only the changes in the section, as another daemon selected
+	// them. Change receives those of the entire table.
 	ChangePart(rows []Row, version Version)
-	// Keep receives what is kept from then on, as Replace does. If isGapless is set, missed
-	// are the changes of the whole table between what was kept before and the version, for
-	// those who are told of them.
+	// Keep replaces the rows, as Replace does. If isGapless is set, missed are all changes
+	// of the entire table between the previous version and this one, to be relayed to other
+	// daemons.
 	Keep(rows []Row, version Version, missed []Row, isGapless bool)
-	// Rows is how many rows are kept.
+	// Rows returns the number of rows that are kept.
 	Rows() int
 }
--- a/internal/table/section_test.go
+++ b/internal/table/section_test.go
@@ -16,7 +16,7 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// sortedStore is a store that holds one table of many keys and counts what is read.
+// sortedStore holds one table with sorted keys and counts the reads.
 type sortedStore struct {
 	table.Store
 	keys  []string
@@ -47,18 +47,18 @@
 	return table.Changes{Version: after}, nil
 }
 
-// countPlan wants so many rows from a place on.
+// countPlan wants a number of rows from a position on.
 type countPlan struct {
-	place float64
-	rows  int
+	position float64
+	rows     int
 }
 
-func (p countPlan) Place() float64                 { return p.place }
+func (p countPlan) Position() float64              { return p.position }
 func (p countPlan) IsEnough(rows []table.Row) bool { return len(rows) >= p.rows }
 func (p countPlan) WantsMore() bool                { return false }
 func (p countPlan) WantsLess(int) bool             { return false }
 
-// randomIDs are ids as backends draw them.
+// randomIDs returns random ids in the format of backend ids, sorted.
 func randomIDs(count int) []string {
 	random := rand.New(rand.NewPCG(1, 2))
 	ids := make([]string, 0, count)
@@ -69,32 +69,31 @@
 	return ids
 }
 
-// kept reads a section and returns its rows.
-func kept(t *testing.T, store table.Store, plan table.SectionPlan) (*table.Follower, *recorder) {
+// followSection starts a follower and returns it with the rows of its section.
+func followSection(t *testing.T, store table.Store, plan table.SectionPlan) (*table.Follower, *recorder) {
 	t.Helper()
 	seen := &recorder{}
 	replica := &table.Replica{Consumer: seen}
-	follower := &table.Follower{Store: store, Table: followed, Consumer: replica, Part: replica, Plan: plan, Logger: quiet, Wait: 20 * time.Millisecond}
+	follower := &table.Follower{Store: store, Table: followedTable, Consumer: replica, Part: replica, Plan: plan, Logger: discardLogger, Wait: 20 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); follower.Run(ctx) }()
-	require.Eventually(t, func() bool { _, _, isKnown := follower.Section(); return isKnown && follower.Age() < time.Minute }, patience, pollTime)
+	require.Eventually(t, func() bool { _, _, isKnown := follower.Section(); return isKnown && follower.Age() < time.Minute }, testTimeout, pollTime)
 	t.Cleanup(func() { cancel(); <-ended })
-	require.Eventually(t, func() bool { return replica.Rows() == len(seen.keys()) }, patience, pollTime)
+	require.Eventually(t, func() bool { return replica.Rows() == len(seen.keys()) }, testTimeout, pollTime)
 	return follower, seen
 }
 
-// TestSectionsSpreadOverTheTable: fleets of 986 and of twice as many daemons over 10,000
-// and 20,000 backends: a daemon reads the same, and no backend is known to many more
-// daemons than others, or to none.
-func TestSectionsSpreadOverTheTable(t *testing.T) {
+// TestSectionsCoverTheTable guards against backends in no section or in far more sections
+// than others, and against reads that grow with the size of the fleet.
+func TestSectionsCoverTheTable(t *testing.T) {
 	const rows = 192
 	for _, size := range []struct{ daemons, backends int }{{986, 10_000}, {1972, 20_000}} {
 		store := &sortedStore{keys: randomIDs(size.backends)}
 		known := map[string]int{}
 		random := rand.New(rand.NewPCG(3, 4))
 		for range size.daemons {
-			reader := &table.Follower{Store: store, Table: followed, Plan: countPlan{place: random.Float64(), rows: rows}}
+			reader := &table.Follower{Store: store, Table: followedTable, Plan: countPlan{position: random.Float64(), rows: rows}}
 			section := table.ReadSectionOnce(t.Context(), reader)
 			for _, row := range section {
 				known[row.Key]++
@@ -103,7 +102,7 @@
 		perDaemon := float64(store.rows) / float64(size.daemons)
 		require.InDelta(t, 64+rows, perDaemon, 4, "the first rows and the section")
 		require.LessOrEqual(t, store.calls, 6*size.daemons)
-		require.Len(t, known, size.backends, "each back end is known to some daemon")
+		require.Len(t, known, size.backends, "each backend is known to some daemon")
 		mean, most := float64(rows*size.daemons)/float64(size.backends), 0
 		for _, count := range known {
 			most = max(most, count)
@@ -112,11 +111,11 @@
 	}
 }
 
-// TestSmallTablesAreKeptWhole, however the keys look.
-func TestSmallTablesAreKeptWhole(t *testing.T) {
+// TestSmallTablesAreKeptEntirely guards against splitting small tables.
+func TestSmallTablesAreKeptEntirely(t *testing.T) {
 	for _, count := range []int{0, 1, 63, 64, 65, 400} {
 		store := &sortedStore{keys: randomIDs(count)}
-		follower, seen := kept(t, store, countPlan{place: 0.9, rows: 10})
+		follower, seen := followSection(t, store, countPlan{position: 0.9, rows: 10})
 		section, width, _ := follower.Section()
 		require.False(t, section.IsPart)
 		require.InDelta(t, 1, width, 0)
@@ -124,9 +123,9 @@
 	}
 }
 
-// TestSectionsOfOddKeys: where keys are not spread as their letters allow, a section is
-// found all the same, and is as large as wanted.
-func TestSectionsOfOddKeys(t *testing.T) {
+// TestSectionsOfNonuniformKeys guards against empty or too large sections when keys are not
+// uniform over their alphabet.
+func TestSectionsOfNonuniformKeys(t *testing.T) {
 	kinds := map[string]func(int) string{
 		"numbers":      func(index int) string { return fmt.Sprintf("back-end-%09d", index) },
 		"no prefix":    func(index int) string { return fmt.Sprintf("%06x", index*1613) },
@@ -139,60 +138,61 @@
 			keys = append(keys, key(index))
 		}
 		sort.Strings(keys)
-		for _, place := range []float64{0, 0.3, 0.999999} {
-			_, seen := kept(t, &sortedStore{keys: keys}, countPlan{place: place, rows: 100})
+		for _, position := range []float64{0, 0.3, 0.999999} {
+			_, seen := followSection(t, &sortedStore{keys: keys}, countPlan{position: position, rows: 100})
 			require.GreaterOrEqual(t, len(seen.keys()), 100, name)
 			require.Less(t, len(seen.keys()), 200, name)
 		}
 	}
 }
 
-// TestSectionHoldsWhatWasRead: the section that is told to an upstream holds the rows that
-// were read and no others, also around the end of the keys.
-func TestSectionHoldsWhatWasRead(t *testing.T) {
+// TestSectionMatchesRowsRead guards against a section that differs from the rows read, also
+// where it wraps around the last key.
+func TestSectionMatchesRowsRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := randomIDs(rapid.IntRange(1100, 1500).Draw(t, "rows"))
-		plan := countPlan{place: rapid.Float64Range(0, 0.9999).Draw(t, "place"), rows: rapid.IntRange(1, 2000).Draw(t, "wanted")}
-		follower := &table.Follower{Store: &sortedStore{keys: keys}, Table: followed, Plan: plan, Part: &table.Replica{Consumer: &recorder{}}}
+		plan := countPlan{position: rapid.Float64Range(0, 0.9999).Draw(t, "place"), rows: rapid.IntRange(1, 2000).Draw(t, "wanted")}
+		follower := &table.Follower{Store: &sortedStore{keys: keys}, Table: followedTable, Plan: plan, Part: &table.Replica{Consumer: &recorder{}}}
 		read := map[string]bool{}
 		for _, row := range table.ReadSectionOnce(context.Background(), follower) {
 			read[row.Key] = true
 		}
 		section, width, _ := follower.Section()
-		held := 0
+		contained := 0
 		for _, key := range keys {
 			if section.Holds(key) {
-				held++
+				contained++
 				require.True(t, read[key], key)
 			}
 		}
-		require.Len(t, read, held)
-		require.InDelta(t, float64(held)/float64(len(keys)), width, 0.15)
+		require.Len(t, read, contained)
+		require.InDelta(t, float64(contained)/float64(len(keys)), width, 0.15)
 	})
 }
 
-// TestFollowerOfASection hears of new and of gone rows of it, and of no others.
-func TestFollowerOfASection(t *testing.T) {
+// TestFollowerOfSection guards against missing changes in the section and against keeping
+// rows of the rest of the table.
+func TestFollowerOfSection(t *testing.T) {
 	store := tabletest.NewMemory()
 	for _, key := range randomIDs(1200) {
 		put(t, store, "", key, "1")
 	}
-	follower, seen := kept(t, store, countPlan{place: 0.5, rows: 200})
+	follower, seen := followSection(t, store, countPlan{position: 0.5, rows: 200})
 	section, _, _ := follower.Section()
 	require.True(t, section.IsPart)
 	before := len(seen.keys())
 	inside, outside := section.From+"0", "i-00000000"
 	put(t, store, "", outside, "2")
 	put(t, store, "", inside, "2")
-	require.Eventually(t, func() bool { return seen.value(inside) == "2" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value(inside) == "2" }, testTimeout, pollTime)
 	require.Len(t, seen.keys(), before+1)
 	remove(t, store, inside)
-	require.Eventually(t, func() bool { return len(seen.keys()) == before }, patience, pollTime)
+	require.Eventually(t, func() bool { return len(seen.keys()) == before }, testTimeout, pollTime)
 }
 
-// TestTableThatGrowsAndShrinks: a table that is kept as a whole becomes a section when it
-// has grown, and a whole again when the section has become too little of it.
-func TestTableThatGrowsAndShrinks(t *testing.T) {
+// TestSectionFollowsTableSize guards against keeping all of a table that has grown, and
+// against keeping only a section of one that has shrunk.
+func TestSectionFollowsTableSize(t *testing.T) {
 	store := tabletest.NewMemory()
 	ids := randomIDs(2500)
 	for _, index := range rand.New(rand.NewPCG(5, 6)).Perm(len(ids))[:100] {
@@ -201,18 +201,18 @@
 	seen := &recorder{}
 	replica := &table.Replica{Consumer: seen}
 	plan := &adaptivePlan{replica: replica}
-	follower := &table.Follower{Store: store, Table: followed, Consumer: replica, Part: replica, Plan: plan, Logger: quiet, Wait: 20 * time.Millisecond}
+	follower := &table.Follower{Store: store, Table: followedTable, Consumer: replica, Part: replica, Plan: plan, Logger: discardLogger, Wait: 20 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); follower.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	isPart := func() bool { section, _, _ := follower.Section(); return section.IsPart }
-	require.Eventually(t, func() bool { return len(seen.keys()) == 100 }, patience, pollTime)
+	require.Eventually(t, func() bool { return len(seen.keys()) == 100 }, testTimeout, pollTime)
 	require.False(t, isPart())
 	for _, id := range ids {
 		put(t, store, "", id, "2")
 	}
-	require.Eventually(t, func() bool { return isPart() && len(seen.keys()) < 400 }, patience, pollTime)
+	require.Eventually(t, func() bool { return isPart() && len(seen.keys()) < 400 }, testTimeout, pollTime)
 	section, width, _ := follower.Section()
 	for index := range 1000 {
 		put(t, store, "", fmt.Sprintf("%s-%d", section.From, index), "3")
@@ -220,25 +220,25 @@
 	require.Eventually(t, func() bool {
 		_, narrower, _ := follower.Section()
 		return narrower < width && len(seen.keys()) < 400
-	}, patience, pollTime)
+	}, testTimeout, pollTime)
 	for index := range 1000 {
 		remove(t, store, fmt.Sprintf("%s-%d", section.From, index))
 	}
 	for _, id := range ids[300:] {
 		remove(t, store, id)
 	}
-	require.Eventually(t, func() bool { return !isPart() && len(seen.keys()) == 300 }, patience, pollTime)
+	require.Eventually(t, func() bool { return !isPart() && len(seen.keys()) == 300 }, testTimeout, pollTime)
 }
 
-// adaptivePlan wants 200 rows, and more when fewer than half of them are left.
+// adaptivePlan wants 200 rows, more if fewer than 100 are left and less above 600.
 type adaptivePlan struct{ replica *table.Replica }
 
-func (p *adaptivePlan) Place() float64                 { return 0.4 }
+func (p *adaptivePlan) Position() float64              { return 0.4 }
 func (p *adaptivePlan) IsEnough(rows []table.Row) bool { return len(rows) >= 200 }
 func (p *adaptivePlan) WantsMore() bool                { return p.replica.Rows() < 100 }
 func (p *adaptivePlan) WantsLess(rows int) bool        { return rows > 600 }
 
-// servingUpstream is the view of a daemon that others follow.
+// servingUpstream is the Upstream of a daemon that others follow.
 type servingUpstream struct{}
 
 func (servingUpstream) Serves() bool { return true }
@@ -246,33 +246,33 @@
 	return table.RelayedChanges{}, false, nil
 }
 
-// TestUpstreamThatReadsAgainTellsEveryChange: while a table grows, an upstream reads it anew
-// several times, and what it tells has no gap.
-func TestUpstreamThatReadsAgainTellsEveryChange(t *testing.T) {
+// TestRereadLeavesNoGapInChanges guards against changes that are missing from an upstream's
+// copy after it has read a growing table again.
+func TestRereadLeavesNoGapInChanges(t *testing.T) {
 	store := tabletest.NewMemory()
 	ids := randomIDs(2500)
 	put(t, store, "", ids[0], "1")
 	replica := &table.Replica{Consumer: &recorder{}}
-	follower := &table.Follower{Store: store, Table: followed, Consumer: replica, Part: replica, Plan: &adaptivePlan{replica: replica}, Logger: quiet, Wait: 20 * time.Millisecond, Upstream: servingUpstream{}}
+	follower := &table.Follower{Store: store, Table: followedTable, Consumer: replica, Part: replica, Plan: &adaptivePlan{replica: replica}, Logger: discardLogger, Wait: 20 * time.Millisecond, Upstream: servingUpstream{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); follower.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	require.Eventually(t, func() bool { return replica.Rows() == 1 && follower.StoreAge() < time.Minute }, patience, pollTime)
+	require.Eventually(t, func() bool { return replica.Rows() == 1 && follower.StoreAge() < time.Minute }, testTimeout, pollTime)
 	_, after, _ := replica.Since(0)
 	for _, id := range ids[1:] {
 		put(t, store, "", id, "2")
 	}
-	require.Eventually(t, func() bool { _, version, _ := replica.Since(0); return version >= store.Version() }, patience, pollTime)
-	require.Eventually(t, func() bool { return replica.Section().IsPart }, patience, pollTime)
+	require.Eventually(t, func() bool { _, version, _ := replica.Since(0); return version >= store.Version() }, testTimeout, pollTime)
+	require.Eventually(t, func() bool { return replica.Section().IsPart }, testTimeout, pollTime)
 	changes, _, isKnown := replica.ChangesSince(after)
 	require.True(t, isKnown)
 	require.Len(t, changes.Rows, len(ids)-1)
 }
 
-// TestReplicaOfASection: it tells all changes that it heard of, and no more once it hears
-// of its own section alone.
-func TestReplicaOfASection(t *testing.T) {
+// TestReplicaOfSection guards against relaying incomplete changes after the replica has
+// received changes of its own section only.
+func TestReplicaOfSection(t *testing.T) {
 	seen := &recorder{}
 	replica := &table.Replica{Consumer: seen}
 	replica.SetSection(table.Section{IsPart: true, From: "b", Before: "d"})
@@ -290,13 +290,13 @@
 	require.False(t, isWhole)
 	require.Len(t, all.Rows, 2)
 	_, _, isKnown = replica.ChangesSince(0)
-	require.False(t, isKnown, "a part is never told as the whole")
+	require.False(t, isKnown, "a section is never returned as the entire table")
 	_, isKnown = replica.SectionSince(table.Section{}, 0)
 	require.False(t, isKnown)
 
 	replica.Keep([]table.Row{{Key: "b", Version: 1}}, 5, []table.Row{{Key: "a", Version: 4}}, true)
 	changes, isKnown = replica.SectionSince(table.Section{IsPart: true, From: "a", Before: "b"}, 1)
-	require.True(t, isKnown, "what was read again has no gap before it")
+	require.True(t, isKnown, "there is no gap before the rows read again")
 	require.Len(t, changes.Rows, 2)
 	replica.Keep([]table.Row{{Key: "b", Version: 1}}, 6, nil, false)
 	_, isKnown = replica.SectionSince(table.Section{}, 5)
@@ -304,18 +304,19 @@
 
 	replica.ChangePart([]table.Row{{Key: "c", Version: 9}}, 9)
 	_, isKnown = replica.SectionSince(table.Section{IsPart: true, From: "a", Before: "b"}, 7)
-	require.False(t, isKnown, "other changes up to 9 were not heard of")
+	require.False(t, isKnown, "other changes up to 9 are not known")
 }
 
-// TestReadOfManyPartitionsWaits for an upstream while it is deferred, and one of few does not.
-func TestReadOfManyPartitionsWaits(t *testing.T) {
+// TestReadOfManyPartitionsIsDeferred guards against reading many partitions while reads are
+// deferred, and against deferring a read of few.
+func TestReadOfManyPartitionsIsDeferred(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "few", "a", "1")
 	var isDeferred atomic.Bool
 	isDeferred.Store(true)
 	start := func() *recorder {
 		seen := &recorder{}
-		follower := &table.Follower{Store: store, Table: followed, Consumer: seen, Partitioned: true, Logger: quiet, Wait: 20 * time.Millisecond, Deferred: func() time.Duration {
+		follower := &table.Follower{Store: store, Table: followedTable, Consumer: seen, Partitioned: true, Logger: discardLogger, Wait: 20 * time.Millisecond, Deferred: func() time.Duration {
 			if isDeferred.Load() {
 				return time.Millisecond
 			}
@@ -328,7 +329,7 @@
 		return seen
 	}
 	few := start()
-	require.Eventually(t, func() bool { return few.value("a") == "1" }, patience, pollTime)
+	require.Eventually(t, func() bool { return few.value("a") == "1" }, testTimeout, pollTime)
 	for partition := range 20 {
 		put(t, store, fmt.Sprint("part-", partition), "a", "2")
 	}
@@ -340,7 +341,7 @@
 	many := start()
 	time.Sleep(100 * time.Millisecond)
 	require.Empty(t, many.value("a"))
-	require.Less(t, calls.Load(), int64(30), "it waits without calls; the other follower watches")
+	require.Less(t, calls.Load(), int64(30), "a deferred read makes no calls; the other follower watches")
 	isDeferred.Store(false)
-	require.Eventually(t, func() bool { return many.value("a") == "2" }, patience, pollTime)
+	require.Eventually(t, func() bool { return many.value("a") == "2" }, testTimeout, pollTime)
 }
--- a/internal/table/sectionread.go
+++ b/internal/table/sectionread.go
@@ -3,18 +3,20 @@
 import "context"
 
 const (
-	// wholeRows is the size up to which a table is kept as a whole by every follower, and
-	// outgrownRows the size to which such a table grows before it is kept in sections.
-	wholeRows    = 600
-	outgrownRows = wholeRows * 3 / 2
-	// sampleRows are read first to learn how large the table is, and pageOfSection at a
-	// time of a section.
-	sampleRows    = 64
-	pageOfSection = 64
-	// reachError is the part by which the reach of the keys may be found too long, and
-	// leastReach the shortest that is told apart.
-	reachError = 1.0 / 16
-	leastReach = 1.0 / (1 << 30)
+	// fullTableRows is the estimated size, in rows, up to which a table is read entirely.
+	fullTableRows = 600
+	// maxFullTableRows is the size above which a table that is kept entirely is read
+	// again as a section.
+	maxFullTableRows = fullTableRows * 3 / 2
+	// sampleRows is the number of rows read first to estimate the size of the table.
+	sampleRows = 64
+	// sectionPageRows is the page size for reads of a section.
+	sectionPageRows = 64
+	// extentTolerance is the relative error up to which the extent of the keys is
+	// overestimated.
+	extentTolerance = 1.0 / 16
+	// minExtent ends the search for the extent.
+	minExtent = 1.0 / (1 << 30)
 )
 
 // sectionRead is one read of a section.
@@ -23,8 +25,8 @@
 	rows     []Row
 	// version is that of the first page.
 	version Version
-	// held is what was read.
-	held held
+	// kept is the section that was read.
+	kept keptSection
 }
 
 // page reads one page and reports whether the range holds further rows.
@@ -43,10 +45,10 @@
 	return page.More && len(page.Rows) > 0, nil
 }
 
-// next is the first key behind the rows.
-func (r *sectionRead) next() string { return r.rows[len(r.rows)-1].Key + "\x00" }
+// nextKey returns the smallest key after the rows read so far.
+func (r *sectionRead) nextKey() string { return r.rows[len(r.rows)-1].Key + "\x00" }
 
-// keys are those of the rows.
+// keys returns the keys of the rows read so far.
 func (r *sectionRead) keys() []string {
 	keys := make([]string, 0, len(r.rows))
 	for _, row := range r.rows {
@@ -55,63 +57,63 @@
 	return keys
 }
 
-// readSection reads a table as a whole if it is small, else the section that the
-// follower's plan wants.
+// readSection reads the entire table if it is small, else the section that the follower's
+// plan selects.
 func (f *Follower) readSection(ctx context.Context) (*sectionRead, error) {
 	first := &sectionRead{follower: f, version: -1}
 	more, err := first.page(ctx, Range{Limit: sampleRows})
 	if err != nil {
 		return nil, err
 	}
-	if f.space.digits == 0 {
-		f.space = KeyspaceOf(first.keys())
+	if f.keyspace.digits == 0 {
+		f.keyspace = KeyspaceOf(first.keys())
 	}
-	reach, isLarge, err := first.measure(ctx, more)
+	extent, isLarge, err := first.measure(ctx, more)
 	if err != nil {
 		return nil, err
 	}
 	if isLarge {
-		return f.readPart(ctx, reach)
+		return f.readPart(ctx, extent)
 	}
 	for more && err == nil {
-		more, err = first.page(ctx, Range{From: first.next(), Limit: pageRows})
+		more, err = first.page(ctx, Range{From: first.nextKey(), Limit: pageRows})
 	}
-	first.held = held{width: 1}
+	first.kept = keptSection{width: 1}
 	return first, err
 }
 
-// readPart reads the section that the follower's plan wants of a table whose keys have a
-// reach.
-func (f *Follower) readPart(ctx context.Context, reach float64) (*sectionRead, error) {
+// readPart reads the section that the follower's plan selects. extent is the fraction of
+// the keyspace that the table's keys use.
+func (f *Follower) readPart(ctx context.Context, extent float64) (*sectionRead, error) {
 	part := &sectionRead{follower: f, version: -1}
-	from := f.space.At(f.Plan.Place() * reach)
-	more, err := part.page(ctx, Range{From: from, Limit: pageOfSection})
+	from := f.keyspace.At(f.Plan.Position() * extent)
+	more, err := part.page(ctx, Range{From: from, Limit: sectionPageRows})
 	if err != nil {
 		return nil, err
 	}
-	part.held.Section, err = part.fill(ctx, from, more, f.Plan)
-	part.held.width = min(f.widthOf(part.held.Section)/reach, 1)
+	part.kept.Section, err = part.fill(ctx, from, more, f.Plan)
+	part.kept.width = min(f.widthOf(part.kept.Section)/extent, 1)
 	return part, err
 }
 
-// measure estimates from the first rows of a table whether it is large, and how far the
-// keys of a large one reach.
-func (r *sectionRead) measure(ctx context.Context, more bool) (reach float64, isLarge bool, err error) {
-	space := r.follower.space
+// measure estimates from the first rows of a table whether it is large, and the extent of
+// its keys if so.
+func (r *sectionRead) measure(ctx context.Context, more bool) (extent float64, isLarge bool, err error) {
+	space := r.follower.keyspace
 	estimate := space.Estimate(r.keys())
-	if !more || estimate <= wholeRows {
+	if !more || estimate <= fullTableRows {
 		return 1, false, nil
 	}
-	reach, err = r.reachOf(ctx, space)
-	return reach, estimate*reach > wholeRows, err
+	extent, err = r.findExtent(ctx, space)
+	return extent, estimate*extent > fullTableRows, err
 }
 
-// reachOf finds how far the keys reach among those that may be, with an error of a
-// sixteenth: they may lie far below what their letters allow. All followers find the same,
-// so that their places are comparable.
-func (r *sectionRead) reachOf(ctx context.Context, space Keyspace) (float64, error) {
+// findExtent finds by bisection which fraction of the keyspace, from its start, the table's
+// keys use: their leading digits may be far below the largest possible. All followers get
+// the same result, so that their positions are comparable.
+func (r *sectionRead) findExtent(ctx context.Context, space Keyspace) (float64, error) {
 	low, high := 0.0, 1.0
-	for middle := 1 - reachError; high > leastReach; middle = (low + high) / 2 {
+	for middle := 1 - extentTolerance; high > minExtent; middle = (low + high) / 2 {
 		found := &sectionRead{follower: r.follower}
 		if _, err := found.page(ctx, Range{From: space.At(middle), Limit: 1}); err != nil {
 			return 0, err
@@ -121,24 +123,25 @@
 		} else {
 			high = middle
 		}
-		if high-low <= high*reachError {
+		if high-low <= high*extentTolerance {
 			break
 		}
 	}
 	return high, nil
 }
 
-// fill reads on, around the ring, until the plan has enough or all is read.
+// fill reads further pages around the ring until the plan has enough rows or the entire
+// table was read.
 func (r *sectionRead) fill(ctx context.Context, from string, more bool, plan SectionPlan) (Section, error) {
 	before, hasWrapped := "", false
 	for !plan.IsEnough(r.rows) {
 		var err error
 		switch {
 		case more:
-			more, err = r.page(ctx, Range{From: r.next(), Before: before, Limit: pageOfSection})
+			more, err = r.page(ctx, Range{From: r.nextKey(), Before: before, Limit: sectionPageRows})
 		case !hasWrapped && from != "":
 			before, hasWrapped = from, true
-			more, err = r.page(ctx, Range{Before: before, Limit: pageOfSection})
+			more, err = r.page(ctx, Range{Before: before, Limit: sectionPageRows})
 		default:
 			return Section{}, nil
 		}
@@ -148,49 +151,49 @@
 	}
 	section := Section{IsPart: true, From: from}
 	if len(r.rows) > 0 && (more || hasWrapped) {
-		section.Before = r.next()
+		section.Before = r.nextKey()
 	}
 	return section, nil
 }
 
-// widthOf is the part of the guessed keys that a section holds.
+// widthOf returns the fraction of the keyspace that a section covers.
 func (f *Follower) widthOf(section Section) float64 {
 	if !section.IsPart {
 		return 1
 	}
 	end := 1.0
 	if section.Before != "" {
-		end = f.space.Fraction(section.Before)
+		end = f.keyspace.Fraction(section.Before)
 	}
-	width := end - f.space.Fraction(section.From)
+	width := end - f.keyspace.Fraction(section.From)
 	if width < 0 {
 		width++
 	}
 	return width
 }
 
-// held is a section with its width on the ring of keys.
-type held struct {
+// keptSection is a section and its width, the fraction of all keys that it covers.
+type keptSection struct {
 	Section
 	width float64
 }
 
-// heldSection is what another daemon's copy has.
-func heldSection(told PeerCopy) held {
-	if !told.Section.IsPart {
-		return held{width: 1}
+// peerSection returns the section of another daemon's copy.
+func peerSection(found PeerCopy) keptSection {
+	if !found.Section.IsPart {
+		return keptSection{width: 1}
 	}
-	return held{Section: told.Section, width: told.Width}
+	return keptSection{Section: found.Section, width: found.Width}
 }
 
-// setSection notes what is kept from now on.
-func (f *Follower) setSection(kept held) {
+// setSection records the section that is kept from now on.
+func (f *Follower) setSection(kept keptSection) {
 	f.section.Store(&kept)
 	f.Part.SetSection(kept.Section)
 }
 
-// Section returns the part of the table that is kept and its width, the part of all keys
-// that it holds. It reports false until the table was read.
+// Section returns the section of the table that is kept and its width, the fraction of all
+// keys that it covers. It reports false until the table has been read.
 func (f *Follower) Section() (section Section, width float64, isKnown bool) {
 	known := f.section.Load()
 	if known == nil {
--- a/internal/table/settling.go
+++ b/internal/table/settling.go
@@ -6,42 +6,43 @@
 	"topazpulley/internal/boottime"
 )
 
-// returnTime is how long those that keep entries in a table need to write them
-// again after the store was away: about two seconds by the platform's word, and
-// short of the two after which a backend that has left must get nothing.
-const returnTime = 1800 * time.Millisecond
+// rewriteTime is how long after a recovery of the store rows that expired during the
+// outage may still be missing. It must stay below the 2 s after which a backend that has
+// left must get no requests.
+const rewriteTime = 1800 * time.Millisecond
 
-// settling is a return of the store, after which rows that lapsed meanwhile are
-// written again.
+// settling describes the last outage of the store. After it, the owners of expired rows
+// write them again.
 type settling struct {
-	// isAway tells that the store has not returned yet.
-	isAway bool
-	// regained is when it returned, and mark the same moment by a clock that counts
-	// sleep too. The time of day serves neither: it may be set back.
-	regained time.Time
-	mark     boottime.Mark
-	// wholeAt is when the store holds again all that belongs there.
-	wholeAt boottime.Instant
+	// isUnavailable is set until the store answers again.
+	isUnavailable bool
+	// recoveredAt is the time of the recovery, and mark the same time for detecting that
+	// the machine was suspended since.
+	recoveredAt time.Time
+	mark        boottime.Mark
+	// completeAt is when all expired rows should have been written again.
+	completeAt boottime.Instant
 }
 
-// settle notes that rows may be missing that belong into the table, for returnTime.
-func (f *Follower) settle() {
-	f.settling.Store(&settling{regained: time.Now(), mark: f.Clock.Mark(), wholeAt: f.Now().Add(returnTime)})
+// startSettling records that expired rows may be missing from the table for rewriteTime.
+func (f *Follower) startSettling() {
+	f.settling.Store(&settling{recoveredAt: time.Now(), mark: f.Clock.Mark(), completeAt: f.Now().Add(rewriteTime)})
 }
 
-// IsSettled reports whether a row that is missing is gone: not while the store
-// is away, nor just after its return, since rows may have lapsed meanwhile. A machine
-// that slept since then has not seen what was written again, until it hears anew.
+// IsSettled reports whether a missing row means that the row was removed. It is false while
+// the store is unavailable and for rewriteTime after its recovery, because rows may have
+// expired meanwhile. If the machine was suspended since the recovery, it is false until a
+// state from completeAt or later is confirmed.
 func (f *Follower) IsSettled() bool {
 	last := f.settling.Load()
 	if last == nil {
 		return true
 	}
-	if last.isAway {
+	if last.isUnavailable {
 		return false
 	}
 	if f.Clock.HasSleptSince(last.mark) {
-		return boottime.Instant(f.confirmed.Load()) >= last.wholeAt
+		return boottime.Instant(f.confirmed.Load()) >= last.completeAt
 	}
-	return time.Since(last.regained) >= returnTime
+	return time.Since(last.recoveredAt) >= rewriteTime
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,7 +1,8 @@
-// Package table is the product's view of a durable, partitioned, watchable
-// table and of an object store beside it. Transactions are conditional on row
-// versions, which is the only thing that safety rests on. Follower keeps a
-// consumer in step with a table through gaps, compaction and stale reads.
+// Package table defines the interface to a durable store of partitioned, watchable
+// tables and of objects. Transactions are conditional on row versions. Follower
+// keeps a Consumer up to date with a table, also across outages, compaction and
+// stale reads. Replica keeps a copy for other daemons. Availability, Forwarding and
+// Monotonic wrap a Store.
 package table
 
 import (
@@ -12,9 +13,8 @@
 	"topazpulley/internal/boottime"
 )
 
-// Version orders the states of a table; one counter rises with every
-// transaction. As the version of a row, 0 stands for a row that does not
-// exist.
+// Version orders the states of all tables: one counter increases with every
+// transaction. As the version of a row, 0 means that the row does not exist.
 type Version int64
 
 // Row is one row of a table.
@@ -28,7 +28,7 @@
 	Deleted bool
 }
 
-// Condition demands that a row has exactly this version.
+// Condition requires that a row has exactly this version.
 type Condition struct {
 	Table   string
 	Key     string
@@ -49,7 +49,7 @@
 }
 
 // Transaction applies all writes and removals in one partition if all
-// conditions hold, else nothing.
+// conditions are met, else nothing.
 type Transaction struct {
 	Partition  string
 	Conditions []Condition
@@ -65,39 +65,39 @@
 	From string
 	// Before excludes keys from this one on; empty means to the end.
 	Before string
-	// Limit bounds the number of rows; 0 means the store's own bound.
+	// Limit is the maximum number of rows; 0 means the store's own limit.
 	Limit int
 }
 
-// Page is the rows of a range as of one moment.
+// Page is the rows of a range at one version.
 type Page struct {
 	Rows []Row
-	// More tells that the range holds further rows.
+	// More is set if the range has further rows.
 	More bool
-	// Version is that of the state which was read.
+	// Version is the version of the state that was read.
 	Version Version
 }
 
 // Changes are the rows of a table that changed, in order.
 type Changes struct {
 	Rows []Row
-	// Version is where to continue.
+	// Version is the version to continue from.
 	Version Version
-	// AsOf is a moment at which nothing but these rows had changed behind the version
-	// that was given; zero means unknown.
+	// AsOf is a time at which these rows were all changes since the given version; zero
+	// means unknown.
 	AsOf boottime.Instant
 }
 
 // Store is the durable store. Every call makes one attempt.
 type Store interface {
-	// Commit applies a transaction; a failed condition is a *ConflictError.
+	// Commit applies a transaction. It returns a *ConflictError if a condition is not met.
 	Commit(ctx context.Context, transaction Transaction) (Version, error)
 	// Read returns rows of one partition.
 	Read(ctx context.Context, wanted Range) (Page, error)
 	// Partitions lists a table's partitions after the given one.
 	Partitions(ctx context.Context, table, after string) (partitions []string, more bool, err error)
-	// Watch returns the changes after a version as soon as there are any, or
-	// none when the wait is over.
+	// Watch returns the changes after a version as soon as there are any, or none
+	// after the wait.
 	Watch(ctx context.Context, table string, after Version, wait time.Duration) (Changes, error)
 	// PutObject stores an object under a name.
 	PutObject(ctx context.Context, name string, content []byte) error
@@ -105,27 +105,27 @@
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// ErrorKind says what is known after a failed call.
+// ErrorKind is the outcome of a failed call.
 type ErrorKind uint8
 
 // The kinds of error.
 const (
-	// ErrorNotDone tells that nothing was done: the store refused the call.
+	// ErrorNotDone means that the store refused the call and nothing was done.
 	ErrorNotDone ErrorKind = iota
-	// ErrorThrottled tells that nothing was done because of a rate limit.
+	// ErrorThrottled means that nothing was done because of a rate limit.
 	ErrorThrottled
-	// ErrorUnknown tells that no answer came: the call may have been carried
-	// out, or may be later.
+	// ErrorUnknown means that no answer was received. The call may have been carried
+	// out or may be carried out later.
 	ErrorUnknown
-	// ErrorCompacted tells that the history before a version is gone.
+	// ErrorCompacted means that the changes after the given version are no longer kept.
 	ErrorCompacted
-	// ErrorMissing tells that an object does not exist.
+	// ErrorMissing means that an object does not exist.
 	ErrorMissing
-	// ErrorInvalid tells that the call or its answer makes no sense.
+	// ErrorInvalid means that the call or its answer is malformed.
 	ErrorInvalid
 )
 
-// String returns the name that logs carry.
+// String returns the name used in logs.
 func (k ErrorKind) String() string {
 	return [...]string{"not_done", "throttled", "unknown", "compacted", "missing", "invalid"}[k]
 }
@@ -149,10 +149,10 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// ConflictError tells that a transaction changed nothing because a condition
-// did not hold.
+// ConflictError means that a transaction changed nothing because a condition was
+// not met.
 type ConflictError struct {
-	// Rows is the present state of the rows that the conditions name.
+	// Rows are the current rows that the conditions name.
 	Rows []Row
 }
 
@@ -165,8 +165,8 @@
 	return "conflict on " + strings.Join(keys, ", ")
 }
 
-// Row returns the present state of a row that the conditions name. A row that
-// does not exist has version 0.
+// Row returns the current state of a row that the conditions name. A row that does
+// not exist has version 0.
 func (e *ConflictError) Row(table, key string) Row {
 	for _, row := range e.Rows {
 		if row.Table == table && row.Key == key {
--- a/internal/table/upstream.go
+++ b/internal/table/upstream.go
@@ -6,54 +6,49 @@
 	"time"
 )
 
-// RelayedChanges are changes of a table as another daemon tells them, which
-// follows the table at the store.
+// RelayedChanges are changes of a table received from an upstream.
 type RelayedChanges struct {
 	Changes
-	// IsWhole tells that Rows are the whole table and not what changed.
+	// IsWhole is set if Rows are the entire table, not only changes.
 	IsWhole bool
-	// IsSettled tells that a row which is missing is gone, as far as the other
-	// daemon knows.
+	// IsSettled is the upstream's Follower.IsSettled.
 	IsSettled bool
-	// IsPart tells that Rows are the changes of the section alone.
+	// IsPart is set if Rows are only the changes in the section.
 	IsPart bool
-	// Age is for how long, when the call came, the other daemon's copy may not have
-	// been the present state, by the store's own answers. It is negative if the copy
-	// was confirmed while the call was held.
+	// Age is the upstream's Follower.StoreAge relative to the start of the call. It is
+	// negative if the copy was confirmed during the call.
 	Age time.Duration
 }
 
-// Upstream is a daemon that follows tables at the store for others. In a large
-// fleet most daemons follow an upstream, so that the store is asked by a few.
+// Upstream is a daemon that follows tables at the store and relays them to others. In a
+// large fleet most daemons follow an upstream, to reduce the calls to the store.
 type Upstream interface {
-	// Changes returns the changes of a section of a table behind a version as soon as there
-	// are any, or none when the wait is over. It reports false when this daemon
-	// should follow the store itself. An error tells that the upstream cannot be
-	// reached or does not know the present state of the store.
+	// Changes returns the changes in a section of a table after a version as soon as there
+	// are any, or none after the wait. It reports false if this daemon should follow the
+	// store directly. An error means that the upstream cannot be reached or isn't up to
+	// date with the store.
 	Changes(ctx context.Context, table string, section Section, after Version, wait time.Duration) (RelayedChanges, bool, error)
-	// Serves reports whether this daemon is an upstream of others.
+	// Serves reports whether this daemon is an upstream for others.
 	Serves() bool
 }
 
 const (
-	// upstreamReserve is how long an answer of an upstream may take beyond the
-	// wait: a call within a zone and a turn of a slow machine.
+	// upstreamReserve is how long an answer of an upstream may take beyond the wait.
 	upstreamReserve = 400 * time.Millisecond
-	// directTime is how long a daemon follows the store itself after its
-	// upstream failed.
+	// directTime is how long a daemon follows the store directly after its upstream
+	// failed.
 	directTime = 2 * time.Second
-	// upstreamRetry is the same while the store does not serve it, or when the upstream
-	// answered at once, within quickFailure, that it cannot tell: another one may.
+	// upstreamRetry replaces directTime while the store does not serve this daemon, or
+	// if the upstream failed within quickFailure.
 	upstreamRetry = 600 * time.Millisecond
 	quickFailure  = 100 * time.Millisecond
-	// servingWait is how long one watch call of an upstream is held: half of the
-	// age at which its copy is no longer told to others (frontend's
-	// upstreamAge).
+	// servingWait is the maximum wait of an upstream's watch calls: half of the age at
+	// which its copy is no longer relayed (frontend's upstreamAge).
 	servingWait = 750 * time.Millisecond
 )
 
-// followUpstream follows the upstream once. It reports false when the store
-// itself should be followed now.
+// followUpstream makes one call to the upstream. It reports false if the store should be
+// followed directly now.
 func (f *Follower) followUpstream(ctx context.Context) bool {
 	if f.Upstream == nil || time.Now().Before(f.directUntil) {
 		return false
@@ -63,7 +58,7 @@
 	defer cancel()
 	started := f.Now()
 	section, _, _ := f.Section()
-	told, isFollowed, err := f.Upstream.Changes(bounded, f.Table, section, f.seen, wait)
+	relayed, isFollowed, err := f.Upstream.Changes(bounded, f.Table, section, f.seen, wait)
 	if !isFollowed || ctx.Err() != nil {
 		return false
 	}
@@ -76,38 +71,38 @@
 		f.Logger.Info("table_upstream_lost", "table", f.Table, "version", f.seen, "error", err)
 		return false
 	}
-	f.take(told)
-	f.noteConfirmed(started.Add(-told.Age))
+	f.applyRelayed(relayed)
+	f.recordConfirmed(started.Add(-relayed.Age))
 	return true
 }
 
-// tryUpstreamSoon has the upstream asked again although it has just failed: the store does
-// not serve this daemon either.
-func (f *Follower) tryUpstreamSoon() {
+// retryUpstreamSoon shortens the time until the next call to a failed upstream, because the
+// store does not serve this daemon either.
+func (f *Follower) retryUpstreamSoon() {
 	soon := f.upstreamFailedAt.Add(upstreamRetry)
 	if soon.Before(f.directUntil) {
 		f.directUntil = soon
 	}
 }
 
-// take hands on what an upstream told. An upstream that lies behind what was
-// read from the store before has no news.
-func (f *Follower) take(told RelayedChanges) {
-	f.note(nil)
-	if told.Version <= f.seen {
+// applyRelayed passes changes from an upstream to the consumer. Changes up to the version
+// seen are ignored.
+func (f *Follower) applyRelayed(relayed RelayedChanges) {
+	f.recordResult(nil)
+	if relayed.Version <= f.seen {
 		return
 	}
-	if !told.IsSettled {
-		f.settle()
+	if !relayed.IsSettled {
+		f.startSettling()
 	}
 	switch {
-	case told.IsPart:
-		f.Part.ChangePart(told.Rows, told.Version)
-	case told.IsWhole:
-		f.Consumer.Replace(told.Rows, told.Version)
-		f.Logger.Info("table_from_upstream", "table", f.Table, "version", told.Version, "version_before", f.seen, "rows", len(told.Rows))
+	case relayed.IsPart:
+		f.Part.ChangePart(relayed.Rows, relayed.Version)
+	case relayed.IsWhole:
+		f.Consumer.Replace(relayed.Rows, relayed.Version)
+		f.Logger.Info("table_from_upstream", "table", f.Table, "version", relayed.Version, "version_before", f.seen, "rows", len(relayed.Rows))
 	default:
-		f.Consumer.Change(told.Rows, told.Version)
+		f.Consumer.Change(relayed.Rows, relayed.Version)
 	}
-	f.seen = told.Version
+	f.seen = relayed.Version
 }
--- a/internal/table/upstream_test.go
+++ b/internal/table/upstream_test.go
@@ -13,21 +13,21 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-var errSilent = errors.New("silent")
+var errUnavailable = errors.New("upstream unavailable")
 
-// testUpstream tells what a copy of a table holds, unless it is silent.
+// testUpstream returns the changes of a copy of a table, or an error while isFailing is set.
 type testUpstream struct {
-	copy     *table.Replica
-	isSilent atomic.Bool
-	calls    atomic.Int64
+	copy      *table.Replica
+	isFailing atomic.Bool
+	calls     atomic.Int64
 }
 
 func (u *testUpstream) Serves() bool { return false }
 
 func (u *testUpstream) Changes(ctx context.Context, _ string, _ table.Section, after table.Version, wait time.Duration) (table.RelayedChanges, bool, error) {
 	u.calls.Add(1)
-	if u.isSilent.Load() {
-		return table.RelayedChanges{}, true, errSilent
+	if u.isFailing.Load() {
+		return table.RelayedChanges{}, true, errUnavailable
 	}
 	select {
 	case <-u.copy.Changed(after):
@@ -39,13 +39,12 @@
 }
 
 func counter(value string, version table.Version) []table.Row {
-	return []table.Row{{Table: followed, Key: "counter", Value: []byte(value), Version: version}}
+	return []table.Row{{Table: followedTable, Key: "counter", Value: []byte(value), Version: version}}
 }
 
-// TestFollowerFollowsItsUpstream and asks the store nothing meanwhile; when the
-// upstream fails it goes to the store, and an upstream that lies behind what was
-// read there takes nothing back.
-func TestFollowerFollowsItsUpstream(t *testing.T) {
+// TestFollowerUsesUpstream guards against calls to the store while the upstream answers,
+// against missing changes when it fails, and against going back to its older version later.
+func TestFollowerUsesUpstream(t *testing.T) {
 	store, seen := tabletest.NewMemory(), &recorder{}
 	calls := atomic.Int64{}
 	store.SetDecide(func(string) tabletest.Fault {
@@ -56,29 +55,29 @@
 	upstream.copy.Replace(counter("1", 1), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	follower := &table.Follower{Store: store, Table: followed, Consumer: seen, Logger: quiet, Wait: 50 * time.Millisecond, Upstream: upstream}
+	follower := &table.Follower{Store: store, Table: followedTable, Consumer: seen, Logger: discardLogger, Wait: 50 * time.Millisecond, Upstream: upstream}
 	go follower.Run(ctx)
-	require.Eventually(t, func() bool { return seen.value("counter") == "1" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("counter") == "1" }, testTimeout, pollTime)
 	upstream.copy.Change(counter("2", 2), 2)
-	require.Eventually(t, func() bool { return seen.value("counter") == "2" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("counter") == "2" }, testTimeout, pollTime)
 	require.Zero(t, calls.Load())
-	require.Greater(t, follower.StoreAge(), patience, "a copy of a copy is not told on")
+	require.Greater(t, follower.StoreAge(), testTimeout, "data of an upstream is no answer of the store")
 
-	upstream.isSilent.Store(true)
+	upstream.isFailing.Store(true)
 	for _, value := range []string{"3", "4"} {
 		put(t, store, "", "counter", value)
 	}
-	require.Eventually(t, func() bool { return seen.value("counter") == "4" }, patience, pollTime)
+	require.Eventually(t, func() bool { return seen.value("counter") == "4" }, testTimeout, pollTime)
 	require.Positive(t, calls.Load())
-	upstream.isSilent.Store(false)
+	upstream.isFailing.Store(false)
 	before := upstream.calls.Load()
-	require.Eventually(t, func() bool { return upstream.calls.Load() > before+3 }, patience, pollTime)
+	require.Eventually(t, func() bool { return upstream.calls.Load() > before+3 }, testTimeout, pollTime)
 	require.Equal(t, "4", seen.value("counter"))
 }
 
-// TestReplicaTellsChangesOrAll: what came behind a version while it is kept, all
-// rows when it is not.
-func TestReplicaTellsChangesOrAll(t *testing.T) {
+// TestReplicaReturnsChangesOrAllRows guards against incomplete changes: when the changes
+// after a version are no longer kept, all rows must be returned.
+func TestReplicaReturnsChangesOrAllRows(t *testing.T) {
 	kept := &table.Replica{Consumer: &recorder{}}
 	kept.Replace(counter("1", 5), 5)
 	changes, isWhole, isKnown := kept.ChangesSince(0)
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -1,15 +1,15 @@
 # Mechanisms by which a daemon of a large fleet knows, hears and tells a part.
 mutant whole_table_outgrown internal/table/resize.go \
-	'return rows > outgrownRows' 'return false' internal/table TestTableThatGrowsAndShrinks
+	'return rows > maxFullTableRows' 'return false' internal/table TestSectionFollowsTableSize
 mutant part_told_as_the_whole internal/table/replica.go \
-	'if r.section.IsPart {' 'if false {' internal/table TestReplicaOfASection
+	'if r.section.IsPart {' 'if false {' internal/table TestReplicaOfSection
 mutant changes_elsewhere_kept internal/table/replica.go \
-	'kept := r.section.Of(rows)' 'kept := rows' internal/table TestFollowerOfASection
+	'kept := r.section.Of(rows)' 'kept := rows' internal/table TestFollowerOfSection
 mutant gap_at_a_second_read internal/table/resize.go \
-	'isUpstream := f.Upstream != nil && f.Upstream.Serves()' 'isUpstream := false' internal/table TestUpstreamThatReadsAgainTellsEveryChange
+	'isUpstream := f.Upstream != nil && f.Upstream.Serves()' 'isUpstream := false' internal/table TestRereadLeavesNoGapInChanges
 mutant part_of_the_changes_told_on internal/table/replica.go \
-	'r.keep(rows, version)
-	r.recent, r.recentAfter = nil, version' 'r.keep(rows, version)' internal/table TestReplicaOfASection
+	'r.store(rows, version)
+	r.recent, r.recentAfter = nil, version' 'r.store(rows, version)' internal/table TestReplicaOfSection
 mutant part_given_as_a_copy internal/frontend/source.go \
 	'if !isOffered || held.replica.Section().IsPart {' 'if !isOffered {' internal/frontend TestPartIsNotToldAsTheWhole
 mutant section_never_grows internal/frontend/section.go \
@@ -27,4 +27,4 @@
 mutant refusing_upstream_not_passed_by internal/frontend/upstream.go \
 	'upstreamTries = 3' 'upstreamTries = 1' internal/frontend TestUpstreamThatRefusesIsPassedBy
 mutant all_read_all_claims internal/table/follower.go \
-	'f.hasManyPartitions = len(partitions) > fewPartitions' 'f.hasManyPartitions = false' internal/table TestReadOfManyPartitionsWaits
+	'f.hasManyPartitions = len(partitions) > deferThreshold' 'f.hasManyPartitions = false' internal/table TestReadOfManyPartitionsIsDeferred
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -124,9 +124,9 @@
 	'const claimsAgeLimit = 2 * time.Second' 'const claimsAgeLimit = time.Hour' internal/job TestOwnerThatHearsNothingStartsNoItemsAfterTheEnd
 mutant age_noted_before_the_rows internal/table/follower.go \
 	'f.Consumer.Change(changes.Rows, changes.Version)
-	f.seen' 'f.noteStore(f.Now())
+	f.seen' 'f.recordStoreAnswer(f.Now())
 	f.Consumer.Change(changes.Rows, changes.Version)
-	f.seen' internal/table TestAgeIsNeverTooShort
+	f.seen' internal/table TestAgeIsUpperBound
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
 	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsAreFreshInCalm
 mutant no_look_before_the_first_byte platform/runner.go \
@@ -186,11 +186,11 @@
 mutant items_queue internal/job/pacing.go \
 	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsEnterNoFullService
 mutant no_pace internal/table/follower.go \
-	'return errors.WithStack(f.Pace.Wait(ctx))' 'return nil' internal/table TestPacedFollowerAsksLessOftenAndMissesNothing
+	'return errors.WithStack(f.Pace.Wait(ctx))' 'return nil' internal/table TestPaceLimitsWatches
 mutant no_forwarding internal/table/forwarding.go \
-	'mayRepeat := isNotDone(err) || (isRead && isUnserved(err))' 'mayRepeat := false' internal/table TestCallsGoThroughPeersWhileTheStoreRefuses
+	'mayRepeat := isNotDone(err) || (isRead && isUnserved(err))' 'mayRepeat := false' internal/table TestCallsAreForwardedWhileStoreRefuses
 mutant unknown_commit_repeated internal/table/forwarding.go \
-	'(isRead && isUnserved(err))' 'isUnserved(err)' internal/table TestCommitOfUnknownOutcomeIsNotMadeAgain
+	'(isRead && isUnserved(err))' 'isUnserved(err)' internal/table TestUnknownCommitIsNotRepeated
 mutant helper_without_store internal/frontend/peerstore.go \
 	'if !p.isServed() {' 'if false {' internal/frontend TestHelperMakesEveryCall
 mutant stale_upstream internal/frontend/upstream.go \
@@ -317,7 +317,7 @@
 mutant good_ends_outlive_sleep internal/quarantine/guard.go \
 	'g.successes.note(fingerprint, g.Clock.Now())' 'g.successes.note(fingerprint, g.Clock.Now().Add(time.Hour))' internal/quarantine TestGoodEndsBeforeASleepProveNothing
 mutant asleep_is_settled internal/table/settling.go \
-	'boottime.Instant(f.confirmed.Load()) >= last.wholeAt' 'f.Now() >= last.wholeAt' internal/table TestRowsThatAreNotBackYetAreNotGone
+	'boottime.Instant(f.confirmed.Load()) >= last.completeAt' 'f.Now() >= last.completeAt' internal/table TestSuspendDelaysSettling
 mutant alone_as_if_few_were internal/ratelimit/share.go \
 	'aloneShare = 1.0' 'aloneShare = 0.25' internal/ratelimit TestSharesStayWithinTheTolerance
 mutant rested_over_a_sleep platform/pool.go \
