--- a/internal/table/tabletest/memory.go
+++ b/internal/table/tabletest/memory.go
@@ -1,5 +1,5 @@
-// Package tabletest is a store in memory, with the faults of a real one, for
-// tests.
+// Package tabletest provides Memory, an in-memory table.Store for tests. It can
+// inject faults, serve stale reads and compact its history.
 package tabletest
 
 import (
@@ -12,26 +12,26 @@
 	"topazpulley/internal/table"
 )
 
-// Fault is how the store treats one call. The zero value is none.
+// Fault is the fault injected into one call. The zero value is none.
 type Fault uint8
 
 // The faults.
 const (
-	// FaultNone answers the call.
+	// FaultNone answers the call normally.
 	FaultNone Fault = iota
-	// FaultRefuse answers that nothing was done.
+	// FaultRefuse does nothing and returns table.ErrorNotDone.
 	FaultRefuse
-	// FaultThrottle answers that a rate limit was reached.
+	// FaultThrottle does nothing and returns table.ErrorThrottled.
 	FaultThrottle
-	// FaultLose carries the call out and loses the answer.
+	// FaultLose carries out a commit and returns table.ErrorUnknown.
 	FaultLose
-	// FaultLate loses the answer and carries the call out when Settle is
-	// called, if its conditions still hold.
+	// FaultLate returns table.ErrorUnknown and carries out a commit when Settle is
+	// called, if its conditions are still met.
 	FaultLate
 )
 
-// CommitFaults returns a choice of faults that treats the next commit in one way and all
-// later ones in another. Calls that are no commits have none.
+// CommitFaults returns a function for SetDecide that injects the fault next into the next
+// commit and later into all following ones. Other calls have no fault.
 func CommitFaults(next, later Fault) func(call string) Fault {
 	chosen := next
 	return func(call string) Fault {
@@ -46,25 +46,30 @@
 
 type rowKey struct{ table, partition, key string }
 
-// Memory is a store in memory. It is safe for concurrent use.
+// Memory is an in-memory store. It is safe for concurrent use; mutex guards the fields
+// below it.
 type Memory struct {
-	mutex   sync.Mutex
-	rows    map[rowKey]table.Row
+	mutex sync.Mutex
+	rows  map[rowKey]table.Row
+	// history has all changes after the version oldest, in order.
 	history []table.Row
 	oldest  table.Version
 	version table.Version
 	objects map[string][]byte
+	// changed is closed at the next change of version or history.
 	changed chan struct{}
-	late    []table.Transaction
+	// late are the transactions that Settle carries out.
+	late []table.Transaction
+	// stale is the state that reads return; nil means the current one.
 	stale   *snapshot
 	commits int
 
-	// Decide chooses the fault of a call by its name; nil means none. It is
-	// called with the store's lock held and must not call the store.
+	// Decide returns the fault for a call by the call's name; nil means none. It is
+	// called with mutex locked and must not call the store.
 	Decide func(call string) Fault
 }
 
-// snapshot is an old state for stale reads.
+// snapshot is the state that stale reads return.
 type snapshot struct {
 	rows    map[rowKey]table.Row
 	version table.Version
@@ -77,7 +82,7 @@
 
 var _ table.Store = (*Memory)(nil)
 
-// SetDecide replaces the choice of faults.
+// SetDecide sets Decide.
 func (m *Memory) SetDecide(decide func(call string) Fault) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -93,7 +98,7 @@
 
 func failed(kind table.ErrorKind, call string) error { return &table.Error{Kind: kind, Call: call} }
 
-// refuse returns the error of a fault that does nothing.
+// refuse returns the error of a fault that skips the call, or nil.
 func refuse(fault Fault, call string) error {
 	switch fault {
 	case FaultRefuse:
@@ -123,7 +128,7 @@
 	return version, err
 }
 
-// Settle carries out the calls that were late.
+// Settle carries out the commits delayed by FaultLate, in order.
 func (m *Memory) Settle() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -175,23 +180,23 @@
 }
 
 func (m *Memory) conflict(transaction table.Transaction) error {
-	present := []table.Row{}
-	holds := true
+	current := []table.Row{}
+	isMet := true
 	for _, condition := range transaction.Conditions {
 		row, exists := m.rows[rowKey{condition.Table, transaction.Partition, condition.Key}]
 		if !exists {
 			row = table.Row{Table: condition.Table, Partition: transaction.Partition, Key: condition.Key}
 		}
-		holds = holds && row.Version == condition.Version
-		present = append(present, row)
+		isMet = isMet && row.Version == condition.Version
+		current = append(current, row)
 	}
-	if holds {
+	if isMet {
 		return nil
 	}
-	return &table.ConflictError{Rows: present}
+	return &table.ConflictError{Rows: current}
 }
 
-// Freeze keeps the present state for stale reads until Thaw.
+// Freeze makes reads return the current state until Thaw.
 func (m *Memory) Freeze() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -201,14 +206,15 @@
 	}
 }
 
-// Thaw ends stale reads.
+// Thaw makes reads return the current state again.
 func (m *Memory) Thaw() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stale = nil
 }
 
-// Compact forgets the history and ends all watches.
+// Compact drops the history and wakes all watches. Watches from before the current version
+// fail with table.ErrorCompacted.
 func (m *Memory) Compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
