--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,7 +1,8 @@
-// Package boottime is a clock that goes on while the machine sleeps, unlike the
-// steady clock of package time, and is never set, unlike the time of day. It serves
-// durations on which a promise to others rests: a machine that slept must find that
-// what it knew is old.
+// Package boottime provides a monotonic clock that includes the time in which the
+// machine is suspended (CLOCK_BOOTTIME), which the monotonic clock of package time
+// does not. In this package, sleep means that the machine is suspended. Clock measures
+// ages and validity periods that must include sleep. Wakeups calls functions after a
+// sleep and makes contexts whose deadlines include sleep.
 package boottime
 
 import (
@@ -10,36 +11,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a moment, as the time since the machine was started. The zero value
-// lies before all that a process can have seen.
+// Instant is a time as the duration since the machine was started. The zero value
+// is before the start of any process.
 type Instant time.Duration
 
-// Clock tells the present moment. The nil clock is the system's.
+// Clock returns the current time. The nil clock is the system's.
 type Clock func() Instant
 
-// Mark is a moment by this clock and by the steady one, between which only sleep
-// makes a difference. The zero value marks no moment.
+// Mark is a time by both this clock and the monotonic clock of package time. They
+// diverge only by sleep. The zero value is no time.
 type Mark struct {
-	steady time.Time
-	at     Instant
+	monotonic time.Time
+	at        Instant
 }
 
-// IsZero reports whether no moment was marked.
-func (m Mark) IsZero() bool { return m.steady.IsZero() }
+// IsZero reports whether this is the zero value.
+func (m Mark) IsZero() bool { return m.monotonic.IsZero() }
 
-// Mark marks the present moment.
-func (c Clock) Mark() Mark { return Mark{steady: time.Now(), at: c.Now()} }
+// Mark returns the current time.
+func (c Clock) Mark() Mark { return Mark{monotonic: time.Now(), at: c.Now()} }
 
-// SleptSince returns for how long the machine has slept since a moment.
+// SleptSince returns for how long the machine has slept since a mark.
 func (c Clock) SleptSince(earlier Mark) time.Duration {
-	return max(c.Now().Sub(earlier.at)-time.Since(earlier.steady), 0)
+	return max(c.Now().Sub(earlier.at)-time.Since(earlier.monotonic), 0)
 }
 
-// HasSleptSince reports whether the machine has slept since a moment for long enough to
-// tell.
-func (c Clock) HasSleptSince(earlier Mark) bool { return c.SleptSince(earlier) >= leastSleep }
+// HasSleptSince reports whether the machine has slept since a mark for minSleep or
+// longer.
+func (c Clock) HasSleptSince(earlier Mark) bool { return c.SleptSince(earlier) >= minSleep }
 
-// Now returns the present moment.
+// Now returns the current time.
 func (c Clock) Now() Instant {
 	if c == nil {
 		return Now()
@@ -47,22 +48,21 @@
 	return c()
 }
 
-// processStart stands in for the machine's start where its clock cannot be read.
+// processStart replaces the machine's start if CLOCK_BOOTTIME cannot be read.
 var processStart = time.Now()
 
-// Now is the system's clock.
+// Now returns the current time by the system's clock.
 func Now() Instant {
 	var read unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
-		// No kernel of the last ten years is without this clock; the steady one is
-		// the same but for sleep.
+		// The monotonic clock of package time differs only by sleep.
 		return Instant(time.Since(processStart))
 	}
 	return Instant(read.Nano())
 }
 
-// Sub returns how long after another moment this one is.
+// Sub returns the duration i - other.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// Add returns the moment so long after this one.
+// Add returns i + span.
 func (i Instant) Add(span time.Duration) Instant { return i + Instant(span) }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -13,19 +13,20 @@
 	"topazpulley/internal/boottime"
 )
 
-// TestNowGoesOn: as the steady clock does while the machine is awake.
-func TestNowGoesOn(t *testing.T) {
-	steady, before := time.Now(), boottime.Now()
+// TestNowMatchesMonotonicClock guards against a clock that differs from the monotonic clock
+// while the machine is awake.
+func TestNowMatchesMonotonicClock(t *testing.T) {
+	monotonic, before := time.Now(), boottime.Now()
 	time.Sleep(20 * time.Millisecond)
 	passed := boottime.Now().Sub(before)
 	require.GreaterOrEqual(t, passed, 20*time.Millisecond)
-	require.LessOrEqual(t, passed, time.Since(steady)+time.Millisecond)
+	require.LessOrEqual(t, passed, time.Since(monotonic)+time.Millisecond)
 	require.Equal(t, before.Add(passed).Sub(before), passed)
 }
 
-// TestOnlySleepIsCounted: time that goes by while the machine is awake is none, and
-// neither is a clock that lags behind.
-func TestOnlySleepIsCounted(t *testing.T) {
+// TestSleptSinceCountsOnlySleep guards against counting time in which the machine is awake,
+// and against a negative result.
+func TestSleptSinceCountsOnlySleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started, slept := time.Now(), time.Duration(0)
 		clock := boottime.Clock(func() boottime.Instant { return boottime.Instant(time.Since(started) + slept) })
@@ -43,8 +44,9 @@
 	require.Less(t, boottime.Clock(nil).SleptSince(boottime.Clock(nil).Mark()), time.Minute)
 }
 
-// TestSleepIsTold: each one once, to those that listen, and no pause of the process.
-func TestSleepIsTold(t *testing.T) {
+// TestNotifyAfterSleep guards against missing or repeated calls after a sleep, calls without
+// a sleep, and calls after stop.
+func TestNotifyAfterSleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slept atomic.Int64
 		started := time.Now()
@@ -54,32 +56,32 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go wakeups.Run(ctx)
-		told, toldAnother := 0, 0
-		stop := wakeups.Notify(func() { told++ })
-		wakeups.Notify(func() { toldAnother++ })
+		calls, otherCalls := 0, 0
+		stop := wakeups.Notify(func() { calls++ })
+		wakeups.Notify(func() { otherCalls++ })
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Zero(t, told)
+		require.Zero(t, calls)
 		for range 2 {
 			slept.Add(int64(time.Second))
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
-		require.Equal(t, 2, told)
+		require.Equal(t, 2, calls)
 		stop()
 		slept.Add(int64(time.Minute))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		require.Equal(t, 2, told)
-		require.Equal(t, 3, toldAnother)
+		require.Equal(t, 2, calls)
+		require.Equal(t, 3, otherCalls)
 	})
 	var none *boottime.Wakeups
 	none.Notify(func() {})()
 }
 
-// TestDeadlinesCountSleep: each sleep brings the end nearer by as much, one that takes
-// all the time ends the context at once, and one after the end does nothing.
-func TestDeadlinesCountSleep(t *testing.T) {
+// TestDeadlinesIncludeSleep guards against contexts that end late after one or more sleeps,
+// and against effects of a sleep after the end.
+func TestDeadlinesIncludeSleep(t *testing.T) {
 	for name, each := range map[string]struct {
 		sleeps []time.Duration
 		awake  time.Duration
--- a/internal/boottime/deadline.go
+++ b/internal/boottime/deadline.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at a moment of the steady clock, or earlier
-// by as long as the machine has slept since a mark, as soon as that is noticed. The
-// timers of package context stand still while the machine sleeps: a request of 4 s
-// whose machine slept for one of them was held, with the work at backends, for 1 s
-// longer than its caller waited. The nil value counts no sleep.
+// WithDeadline returns a context that ends at the deadline minus the time that the
+// machine has slept since a mark. Timers of package context stop during sleep, so a
+// plain context would outlive its caller. A sleep is detected within checkInterval
+// after it. With the nil Wakeups, sleep is ignored.
 func (w *Wakeups) WithDeadline(parent context.Context, deadline time.Time, since Mark) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithDeadline(parent, deadline)
 	if w == nil {
@@ -25,8 +24,7 @@
 	}
 }
 
-// earlierEnd ends a context earlier than its deadline. mutex guards the fields behind
-// it.
+// earlierEnd ends a context before its deadline. mutex guards the fields below it.
 type earlierEnd struct {
 	deadline time.Time
 	end      context.CancelFunc
@@ -36,7 +34,7 @@
 	isStopped bool
 }
 
-// advance moves the end to so long before the deadline.
+// advance moves the end to the deadline minus slept.
 func (e *earlierEnd) advance(slept time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/boottime/wakeups.go
+++ b/internal/boottime/wakeups.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// lookInterval is how often it is looked whether the machine has slept. With a turn
-	// of a slow machine it stays under the half second within which work for callers
-	// who left must end.
-	lookInterval = 200 * time.Millisecond
-	// leastSleep is the shortest sleep that is noticed: below it lies what reading two
-	// clocks one after the other can make on a busy machine.
-	leastSleep = 50 * time.Millisecond
+	// checkInterval is the interval of the checks for sleep. It must be well below the
+	// 500 ms within which work for callers that left must end.
+	checkInterval = 200 * time.Millisecond
+	// minSleep is the shortest sleep that is detected. Shorter differences can come from
+	// reading two clocks one after the other.
+	minSleep = 50 * time.Millisecond
 )
 
-// Wakeups tells that the machine has slept: timers of the steady clock, which stood
-// still meanwhile, are late by that much. The nil value never tells. It is safe for
-// concurrent use; mutex guards the fields behind it.
+// Wakeups calls registered functions after the machine has slept: timers of package
+// time, which stop during sleep, fire late by that duration. The nil value never calls
+// a function. It is safe for concurrent use; mutex guards the fields below it.
 type Wakeups struct {
 	clock Clock
 	log   *slog.Logger
 
 	mutex sync.Mutex
-	next  uint64
-	tell  map[uint64]func()
+	// next is the next key of callbacks.
+	next      uint64
+	callbacks map[uint64]func()
 }
 
-// NewWakeups returns one that watches the clock while Run goes on.
+// NewWakeups returns a Wakeups for a clock. It detects sleep while Run runs.
 func NewWakeups(clock Clock, log *slog.Logger) *Wakeups {
-	return &Wakeups{clock: clock, log: log, tell: map[uint64]func(){}}
+	return &Wakeups{clock: clock, log: log, callbacks: map[uint64]func(){}}
 }
 
-// Notify has a function called after each sleep until stop is called. The function
-// must not block.
-func (w *Wakeups) Notify(told func()) (stop func()) {
+// Notify registers a function to be called after each sleep until stop is called. The
+// function must not block.
+func (w *Wakeups) Notify(callback func()) (stop func()) {
 	if w == nil {
 		return func() {}
 	}
@@ -46,37 +46,38 @@
 	defer w.mutex.Unlock()
 	number := w.next
 	w.next++
-	w.tell[number] = told
+	w.callbacks[number] = callback
 	return func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		delete(w.tell, number)
+		delete(w.callbacks, number)
 	}
 }
 
-// Run watches the clock until the context ends.
+// Run checks for sleep every checkInterval until the context ends.
 func (w *Wakeups) Run(ctx context.Context) {
 	before := w.clock.Mark()
-	periodic.Run(ctx, lookInterval, func() {
+	periodic.Run(ctx, checkInterval, func() {
 		slept := w.clock.SleptSince(before)
 		before = w.clock.Mark()
-		if slept < leastSleep {
+		if slept < minSleep {
 			return
 		}
-		told := w.registered()
-		w.log.Warn("machine_slept", "slept_ms", slept.Milliseconds(), "told", len(told))
-		for _, each := range told {
-			each()
+		callbacks := w.registered()
+		w.log.Warn("machine_slept", "slept_ms", slept.Milliseconds(), "told", len(callbacks))
+		for _, callback := range callbacks {
+			callback()
 		}
 	})
 }
 
+// registered returns a copy of the callbacks, to be called without the mutex.
 func (w *Wakeups) registered() []func() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	found := make([]func(), 0, len(w.tell))
-	for _, each := range w.tell {
-		found = append(found, each)
+	found := make([]func(), 0, len(w.callbacks))
+	for _, callback := range w.callbacks {
+		found = append(found, callback)
 	}
 	return found
 }
