--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs steps at an interval and pauses within a context.
+// Package periodic runs a function at an interval and sleeps until a context ends.
 package periodic
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Run calls step once an interval until the context ends. A step that takes
-// longer than the interval delays the next one; none are made up for.
+// Run calls step once per interval until the context ends. If a step takes longer than
+// the interval, the next one starts late and further missed steps are dropped.
 func Run(ctx context.Context, interval time.Duration, step func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/periodic/sleep.go
+++ b/internal/periodic/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for the pause; it reports false when the context ends first.
+// Sleep waits for the pause. It reports false if the context ends first.
 func Sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -18,8 +18,9 @@
 	}
 }
 
-// SleepAbout waits for half to one and a half times the pause, so that many
-// waiters do not come back at once.
+// SleepAbout waits for a random time between 0.5 and 1.5 times the pause, to avoid
+// that many callers resume at once. It reports false if the context ends first. The
+// pause must be positive.
 func SleepAbout(ctx context.Context, pause time.Duration) bool {
 	return Sleep(ctx, pause/2+rand.N(pause))
 }
