--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Place implements table.SectionPlan.
+// Position implements table.SectionPlan.
 func (p *sectionPlan) Position() float64 { return p.place }
 
 // IsEnough implements table.SectionPlan.
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -9,7 +9,7 @@
 )
 
 // Replica is a Consumer that keeps a copy of a followed table, or of a section of it, for
-// other daemons, and passes all rows on to its own Consumer. mutex guards the fields below
+// other daemons, and passes the kept rows on to its own Consumer. mutex guards the fields below
 // it.
 type Replica struct {
 	Consumer Consumer
