--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Place implements table.SectionPlan.
-func (p *sectionPlan) Place() float64 { return p.place }
+// Position implements table.SectionPlan.
+func (p *sectionPlan) Position() float64 { return p.place }
 
 // IsEnough implements table.SectionPlan.
 func (p *sectionPlan) IsEnough(rows []table.Row) bool {
