--- a/internal/job/accept.go
+++ b/internal/job/accept.go
@@ -25,13 +25,13 @@
 		if known, isOpen := s.openTenant(submitted.ID); isOpen {
 			return s.acknowledgeKnown(submitted, known)
 		}
-		wasHeld, err := s.holdWhileAway(ctx, submitted)
+		wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)
 		if err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
 		err = s.submitOnce(ctx, submitted, wasUnderWay || wasHeld)
-		if !isWorthHolding(ctx, err) || !s.isStoreAway() {
+		if !isBufferable(ctx, err) || !s.isStoreUnavailable() {
 			return err
 		}
 	}
@@ -85,7 +85,7 @@
 	case ended.voided != 0:
 		// The reservation may have been swept together with the last try.
 		held.voided = ended.voided
-		if err := s.reserveAgain(ctx, &submitted, &held); err != nil {
+		if err := s.renewReservation(ctx, &submitted, &held); err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
--- a/internal/job/waiting.go
+++ b/internal/job/accounts.go
@@ -14,15 +14,15 @@
 
 const (
 	// settleInterval is the pause between two looks at what ended, and
-	// settleLazily how long an account that is far from its limit may wait to
+	// lazySettleInterval how long an account that is far from its limit may wait to
 	// hear of it.
-	settleInterval = 200 * time.Millisecond
-	settleLazily   = 5 * time.Second
-	settleTimeout  = time.Second
-	// settleOperations bounds what one call settles.
-	settleOperations = 40
-	// unboundedPause is the pause between two looks whether a route has a bound.
-	unboundedPause = time.Second
+	settleInterval     = 200 * time.Millisecond
+	lazySettleInterval = 5 * time.Second
+	settleTimeout      = time.Second
+	// maxSettleOperations bounds what one call settles.
+	maxSettleOperations = 40
+	// unlimitedPause is the pause between two looks whether a route has a bound.
+	unlimitedPause = time.Second
 )
 
 // account is where a job's waiting tokens count.
@@ -81,20 +81,20 @@
 	if !isBounded {
 		return reservation{}, nil
 	}
-	held := reservation{account: found, job: submitted.ID, tokens: submitted.tokens()}
-	err := s.reserveAgain(ctx, submitted, &held)
-	return held, err
+	reserved := reservation{account: found, job: submitted.ID, tokens: submitted.tokens()}
+	err := s.renewReservation(ctx, submitted, &reserved)
+	return reserved, err
 }
 
-// reserveAgain sets the tokens aside under a new holder, so that a sweeper which
+// renewReservation sets the tokens aside under a new holder, so that a sweeper which
 // frees the earlier reservation spares this one.
-func (s *Service) reserveAgain(ctx context.Context, submitted *Job, held *reservation) error {
-	if !held.isBounded() {
+func (s *Service) renewReservation(ctx context.Context, submitted *Job, reserved *reservation) error {
+	if !reserved.isBounded() {
 		return nil
 	}
 	var err error
-	held.holder = s.newHolder()
-	held.isNew, err = s.quota.Reserve(ctx, held.account.name, held.account.limit, submitted.ID, held.tokens, held.holder)
+	reserved.holder = s.newHolder()
+	reserved.isNew, err = s.quota.Reserve(ctx, reserved.account.name, reserved.account.limit, submitted.ID, reserved.tokens, reserved.holder)
 	return err
 }
 
@@ -110,15 +110,15 @@
 // release takes back a reservation that this call made, as well as the store
 // allows now; the rest is swept later. One that stood before may belong to a
 // try whose outcome is unknown.
-func (s *Service) release(held reservation) {
-	if !held.isNew {
+func (s *Service) release(reserved reservation) {
+	if !reserved.isNew {
 		return
 	}
 	go func() {
 		bounded, cancel := context.WithTimeout(s.lifetime, settleTimeout)
 		defer cancel()
-		_, err := s.quota.Apply(bounded, held.account.name, held.account.limit, []quota.Operation{{Kind: quota.KindRelease, Job: held.job, Holder: held.holder}})
-		s.log.Info("reservation_released", "job", held.job, "account", held.account.name, "tokens", held.tokens, "error", err)
+		_, err := s.quota.Apply(bounded, reserved.account.name, reserved.account.limit, []quota.Operation{{Kind: quota.KindRelease, Job: reserved.job, Holder: reserved.holder}})
+		s.log.Info("reservation_released", "job", reserved.job, "account", reserved.account.name, "tokens", reserved.tokens, "error", err)
 	}()
 }
 
@@ -129,34 +129,34 @@
 	at      time.Time
 }
 
-// overJob is a job that is over and whose reservation stands yet.
-type overJob struct {
+// endedJob is a job that is over and whose reservation stands yet.
+type endedJob struct {
 	account account
 	epoch   int64
 }
 
-// noteOver has the account of a job that is over told.
-func (s *Service) noteOver(held *owned) {
-	held.mutex.Lock()
-	told, epoch := held.settled.account, held.claim.claim.Epoch
-	held.mutex.Unlock()
-	isBounded := told.name != ""
+// settleEnded has the account of a job that is over told.
+func (s *Service) settleEnded(ended *owned) {
+	ended.mutex.Lock()
+	target, epoch := ended.settled.account, ended.claim.claim.Epoch
+	ended.mutex.Unlock()
+	isBounded := target.name != ""
 	if !isBounded {
-		told, isBounded = s.accountOf(&held.job)
+		target, isBounded = s.accountOf(&ended.job)
 	}
 	if !isBounded {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.over[held.job.ID] = overJob{account: told, epoch: epoch}
+	s.over[ended.job.ID] = endedJob{account: target, epoch: epoch}
 }
 
 // settleAll tells accounts what ended until the context ends.
 func (s *Service) settleAll(ctx context.Context) {
 	periodic.Run(ctx, settleInterval, func() {
-		if !s.hasBounds() {
-			periodic.Sleep(ctx, unboundedPause)
+		if !s.hasTokenLimit() {
+			periodic.Sleep(ctx, unlimitedPause)
 			return
 		}
 		for name, due := range s.dueSettlements(time.Now()) {
@@ -165,8 +165,8 @@
 	})
 }
 
-// hasBounds reports whether the waiting tokens of a route are bounded.
-func (s *Service) hasBounds() bool {
+// hasTokenLimit reports whether the waiting tokens of a route are bounded.
+func (s *Service) hasTokenLimit() bool {
 	current := s.holder.Current()
 	if current == nil {
 		return false
@@ -192,15 +192,15 @@
 		due[ended.account.name] = append(due[ended.account.name], dueSettlement{limit: ended.account.limit, operation: operation})
 	}
 	s.mutex.Unlock()
-	for _, held := range jobs {
-		found, isBounded := s.accountOf(&held.job)
+	for _, each := range jobs {
+		found, isBounded := s.accountOf(&each.job)
 		if !isBounded {
 			continue
 		}
-		waiting := held.waitingTokens()
-		if held.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
-			operation := quota.Operation{Kind: quota.KindSettle, Job: held.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: held.claim.claim.Epoch}
-			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: held})
+		waiting := each.waitingTokens()
+		if each.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
+			operation := quota.Operation{Kind: quota.KindSettle, Job: each.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: each.claim.claim.Epoch}
+			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: each})
 		}
 	}
 	return due
@@ -217,21 +217,21 @@
 
 // isSettlementDue reports whether the job's account should be told what waits. A
 // job that was taken over is counted already, with more than waits at worst.
-func (o *owned) isSettlementDue(found account, waiting int64, isPressed bool, now time.Time) bool {
+func (o *owned) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	isTold := o.settled.account.name == found.name
-	if isTold && o.settled.tokens == waiting {
+	isCurrentAccount := o.settled.account.name == found.name
+	if isCurrentAccount && o.settled.tokens == waiting {
 		return false
 	}
-	isCounted := isTold || o.claim.claim.Epoch > 1
-	return !isCounted || isPressed || now.Sub(o.settled.at) >= settleLazily
+	isCounted := isCurrentAccount || o.claim.claim.Epoch > 1
+	return !isCounted || isNearLimit || now.Sub(o.settled.at) >= lazySettleInterval
 }
 
 // settle tells one account.
 func (s *Service) settle(ctx context.Context, name string, due []dueSettlement) {
 	for len(due) > 0 {
-		count := min(settleOperations, len(due))
+		count := min(maxSettleOperations, len(due))
 		part := due[:count]
 		due = due[count:]
 		operations := make([]quota.Operation, 0, count)
@@ -245,11 +245,11 @@
 			s.log.Info("settlement_failed", "account", name, "jobs", count, "error", err)
 			return
 		}
-		s.noteSettled(name, part)
+		s.recordSettled(name, part)
 	}
 }
 
-func (s *Service) noteSettled(name string, settled []dueSettlement) {
+func (s *Service) recordSettled(name string, settled []dueSettlement) {
 	now := time.Now()
 	for _, each := range settled {
 		if each.owned == nil {
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -20,11 +20,11 @@
 	// it is quarantined: a quarantine may be lifted at any time.
 	quarantinedPause = time.Second
 	// itemTime is how long a backend may work on one item.
-	itemTime = 60 * time.Second
-	// firstPatience and eventPatience bound the silence of a backend before an
+	itemTimeout = 60 * time.Second
+	// firstEventTimeout and eventTimeout bound the silence of a backend before an
 	// item's first event and between events.
-	firstPatience = 6 * time.Second
-	eventPatience = 1500 * time.Millisecond
+	firstEventTimeout = 6 * time.Second
+	eventTimeout      = 1500 * time.Millisecond
 	// itemMethod is the method of every item's request.
 	itemMethod = "POST"
 	// invalidStatus tells that an item can never be done.
@@ -38,16 +38,16 @@
 	instance := lease.Instance()
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watched := watchdog.Start(firstPatience, eventPatience, cancel)
+	watched := watchdog.Start(firstEventTimeout, eventTimeout, cancel)
 	defer watched.Stop()
-	answer, err := s.sendToReader(bounded, serving.Attempt{
+	answer, err := s.reserveAndSend(bounded, serving.Attempt{
 		Instance: instance, Tenant: running.owner.job.Tenant, MaxConnections: s.connections(service), ID: running.item.ID, Fingerprint: running.fingerprint, Method: itemMethod, Target: running.item.Path,
-		Host: running.owner.job.Host, Fields: running.item.Fields, Body: running.item.Body, Remaining: itemTime,
-		LastEvent: running.progress.last(), Stream: true, Permit: permit,
+		Host: running.owner.job.Host, Fields: running.item.Fields, Body: running.item.Body, Remaining: itemTimeout,
+		LastEvent: running.progress.lastID(), Stream: true, Permit: permit,
 	}, running.item.Tokens)
 	if err == nil {
 		defer answer.Close()
-		if report, told := answer.Load(); told {
+		if report, isReported := answer.Load(); isReported {
 			s.backends.RecordReport(instance.Incarnation(), report, time.Now())
 		}
 		err = s.readItem(running, answer, lease, watched)
@@ -56,11 +56,11 @@
 		err = &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonSilent, Cause: err}
 	}
 	if err != nil {
-		s.attemptFailed(ctx, running, instance, matched, err)
+		s.handleFailure(ctx, running, instance, matched, err)
 	}
 }
 
-// sendToReader sends an item to a backend that has just answered a question for a place.
+// reserveAndSend sends an item to a backend that has just answered a question for a place.
 //
 // A backend that stands still, as a paused process does, is connected to and written to
 // all the same: what lies in its sockets is read when it goes on, seconds later, however
@@ -70,7 +70,7 @@
 // before the item waits there, and one that is dead 60 ms later in place of six seconds.
 // Backends that set no places aside are not asked; an item that names no size asks for
 // one token.
-func (s *Service) sendToReader(ctx context.Context, attempt serving.Attempt, tokens int) (serving.Answer, error) {
+func (s *Service) reserveAndSend(ctx context.Context, attempt serving.Attempt, tokens int) (serving.Answer, error) {
 	if err := serving.Reserve(ctx, s.sender, s.holder.Current(), &attempt, max(tokens, 1)); err != nil {
 		return nil, err
 	}
@@ -100,9 +100,9 @@
 		if errors.Is(err, io.EOF) {
 			s.backends.Succeeded(lease.Instance().Incarnation(), time.Now())
 			s.metrics.Items.WithLabelValues(string(StateCompleted)).Inc()
-			s.noteItemTime(running)
+			s.recordItemTime(running)
 			s.log.Info("item_completed", "job", running.owner.job.ID, "item", running.item.ID, "backend", lease.Instance().ID,
-				"events", running.progress.last(), "took_ms", time.Since(running.startedAt).Milliseconds())
+				"events", running.progress.lastID(), "took_ms", time.Since(running.startedAt).Milliseconds())
 			running.owner.end(running, Result{Item: running.item.ID, State: StateCompleted, Text: running.progress.text()})
 			return nil
 		}
@@ -117,54 +117,54 @@
 	}
 }
 
-// noteItemTime learns from an item that ended how long items run.
-func (s *Service) noteItemTime(ended *work) {
+// recordItemTime learns from an item that ended how long items run.
+func (s *Service) recordItemTime(ended *work) {
 	ran := ended.owner.ranFor(ended, time.Now())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.clock.note(ran)
+	s.clock.add(ran)
 }
 
-// attemptFailed decides what becomes of an item after a failed attempt.
-func (s *Service) attemptFailed(ctx context.Context, running *work, instance backend.Instance, matched *route.Route, err error) {
-	held := running.owner
-	if held.ctx.Err() != nil {
-		s.log.Info("item_cut", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID,
-			"after_ms", time.Since(running.startedAt).Milliseconds(), "last_event", running.progress.last(), "cause", err)
+// handleFailure decides what becomes of an item after a failed attempt.
+func (s *Service) handleFailure(ctx context.Context, running *work, instance backend.Instance, matched *route.Route, err error) {
+	owner := running.owner
+	if owner.ctx.Err() != nil {
+		s.log.Info("item_cut", "job", owner.job.ID, "item", running.item.ID, "backend", instance.ID,
+			"after_ms", time.Since(running.startedAt).Milliseconds(), "last_event", running.progress.lastID(), "cause", err)
 		return
 	}
 	if ctx.Err() != nil {
 		s.metrics.Items.WithLabelValues("yielded").Inc()
-		held.requeue(running, refusedPause)
+		owner.requeue(running, refusedPause)
 		return
 	}
 	var invalid *invalidItemError
 	if errors.As(err, &invalid) {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
-		s.log.Info("item_abandoned", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID, "reason", "invalid", "status", invalid.status)
-		held.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+		s.log.Info("item_abandoned", "job", owner.job.ID, "item", running.item.ID, "backend", instance.ID, "reason", "invalid", "status", invalid.status)
+		owner.end(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
-	s.noteFailure(running, instance, matched, err)
+	s.recordFailure(running, instance, matched, err)
 }
 
-// noteFailure counts a failed attempt against the backend and the item.
-func (s *Service) noteFailure(running *work, instance backend.Instance, matched *route.Route, err error) {
-	held := running.owner
+// recordFailure counts a failed attempt against the backend and the item.
+func (s *Service) recordFailure(running *work, instance backend.Instance, matched *route.Route, err error) {
+	owner := running.owner
 	failed := &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	_ = errors.As(err, &failed)
 	if failed.Reason == serving.ReasonError {
 		// The item may be at fault; other work tells whether the backend is.
-		running.progress.fail()
+		running.progress.addFailure()
 	} else {
 		serving.RecordFailure(s.backends, instance.Incarnation(), failed.Reason, time.Now())
 	}
 	s.metrics.Items.WithLabelValues(failed.Outcome.String()).Inc()
-	s.log.Info("item_attempt_failed", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID, "outcome", failed.Outcome.String(),
-		"reason", string(failed.Reason), "failures", running.progress.failed(), "last_event", running.progress.last(), "cause", failed.Cause, "fingerprint", running.fingerprint.String())
-	if running.progress.failed() >= matched.MaxAttempts {
-		s.log.Info("item_abandoned", "job", held.job.ID, "item", running.item.ID, "reason", "failures", "failures", running.progress.failed())
-		held.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+	s.log.Info("item_attempt_failed", "job", owner.job.ID, "item", running.item.ID, "backend", instance.ID, "outcome", failed.Outcome.String(),
+		"reason", string(failed.Reason), "failures", running.progress.failureCount(), "last_event", running.progress.lastID(), "cause", failed.Cause, "fingerprint", running.fingerprint.String())
+	if running.progress.failureCount() >= matched.MaxAttempts {
+		s.log.Info("item_abandoned", "job", owner.job.ID, "item", running.item.ID, "reason", "failures", "failures", running.progress.failureCount())
+		owner.end(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
 	pause := failedPause
@@ -174,5 +174,5 @@
 	if failed.Reason == serving.ReasonQuarantined {
 		pause = quarantinedPause
 	}
-	held.requeue(running, pause)
+	owner.requeue(running, pause)
 }
--- a/internal/job/room.go
+++ b/internal/job/batchcapacity.go
@@ -18,7 +18,7 @@
 	periodic.Run(ctx, batchcapacity.SampleInterval, func() {
 		now := time.Now()
 		for _, service := range s.itemServices() {
-			before, after := s.rooms.note(service, s.backends.ServiceLoad(service, now), now)
+			before, after := s.rooms.recordLoad(service, s.backends.ServiceLoad(service, now), now)
 			if (before == 0) != (after == 0) {
 				s.log.Info("demand_rhythm", "service", service, "period_ms", after.Milliseconds(), "period_before_ms", before.Milliseconds())
 			}
@@ -26,18 +26,18 @@
 	})
 }
 
-// mustGiveWay reports whether an item at a backend gives way to an online request that
+// mustPreempt reports whether an item at a backend gives way to an online request that
 // found no place.
-func (s *Service) mustGiveWay(id string, now time.Time) bool {
+func (s *Service) mustPreempt(id string, now time.Time) bool {
 	instance, found := s.backends.Get(id)
 	if !found {
 		return true
 	}
-	if s.roomPolicy(instance.Service) == batchcapacity.PolicyFree {
+	if s.capacityPolicy(instance.Service) == batchcapacity.PolicyFree {
 		return true
 	}
 	load := s.backends.ServiceLoad(instance.Service, now)
-	if s.rooms.mustGiveWay(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
+	if s.rooms.mustPreempt(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
 		return true
 	}
 	s.metrics.BatchRoom.WithLabelValues("stays").Inc()
@@ -45,10 +45,10 @@
 	return false
 }
 
-// roomPolicy is the policy of the room at a service. Where backends set no places aside,
+// capacityPolicy is the policy of the room at a service. Where backends set no places aside,
 // requests do not go on asking but wait at one backend, and items take and leave what
 // slots they can.
-func (s *Service) roomPolicy(service string) batchcapacity.Policy {
+func (s *Service) capacityPolicy(service string) batchcapacity.Policy {
 	current := s.holder.Current()
 	if current == nil {
 		return batchcapacity.PolicyFree
@@ -60,13 +60,13 @@
 	return s.rooms.policy
 }
 
-// isRoomy reports whether requests that ask find places at a service, so that work beyond
+// hasFreeSlots reports whether requests that ask find places at a service, so that work beyond
 // the slots of one backend is most likely such that only asks there.
-func (s *Service) isRoomy(service string, now time.Time) bool {
-	if s.roomPolicy(service) == batchcapacity.PolicyFree {
+func (s *Service) hasFreeSlots(service string, now time.Time) bool {
+	if s.capacityPolicy(service) == batchcapacity.PolicyFree {
 		return false
 	}
-	return s.rooms.isRoomy(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
+	return s.rooms.hasFreeSlots(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
 }
 
 // itemServices lists the services to which items go.
@@ -89,42 +89,42 @@
 }
 
 // roomAt decides how many items all owners together send to a service in the next window.
-func (s *Service) roomAt(service string, now time.Time) batchcapacity.Capacity {
+func (s *Service) batchCapacity(service string, now time.Time) batchcapacity.Capacity {
 	load := s.backends.ServiceLoad(service, now)
-	itemTime, policy := s.itemTime(), s.roomPolicy(service)
-	room := s.rooms.decide(policy, service, load, itemTime, s.propagationWindow())
-	room = onlyWhereLess(room, policy, load.Slots-load.Online-load.Batch)
-	waiting := s.placer.all
-	s.metrics.BatchRoom.WithLabelValues(roomLabel(room, waiting)).Inc()
-	if waiting > room.Deferrable && s.rooms.mayLog(service, now) {
+	itemTime, policy := s.itemTime(), s.capacityPolicy(service)
+	capacity := s.rooms.decide(policy, service, load, itemTime, s.propagationWindow())
+	capacity = dropLooseBounds(capacity, policy, load.Slots-load.Online-load.Batch)
+	waiting := s.placer.allWaiting
+	s.metrics.BatchRoom.WithLabelValues(capacityLabel(capacity, waiting)).Inc()
+	if waiting > capacity.Deferrable && s.rooms.mayLog(service, now) {
 		s.log.Info("batch_room", "service", service, "policy", string(policy), "slots", load.Slots, "online", load.Online, "batch", load.Batch,
-			"room", room.Deferrable, "reserve", room.Reserve, "period_ms", room.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
-			"waiting", waiting, "own_waiting", s.placer.own)
+			"room", capacity.Deferrable, "reserve", capacity.Reserve, "period_ms", capacity.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
+			"waiting", waiting, "own_waiting", s.placer.ownWaiting)
 	}
-	return room
+	return capacity
 }
 
-// unboundedRoom stands for room that only the slots of single backends bound.
-const unboundedRoom = math.MaxInt32
+// unbounded stands for room that only the slots of single backends bound.
+const unbounded = math.MaxInt32
 
-// onlyWhereLess leaves a bound on the room of a service only where it is below the free
+// dropLooseBounds leaves a bound on the room of a service only where it is below the free
 // slots. Those are shared among owners by backend already; to share the sum as well draws
 // lots twice, by which an owner of one item beside a hundred sent a quarter of what it may.
-func onlyWhereLess(room batchcapacity.Capacity, policy batchcapacity.Policy, free int) batchcapacity.Capacity {
-	room.Urgent = unboundedRoom
+func dropLooseBounds(capacity batchcapacity.Capacity, policy batchcapacity.Policy, free int) batchcapacity.Capacity {
+	capacity.Urgent = unbounded
 	isBounded := policy == batchcapacity.PolicyReserve || policy == batchcapacity.PolicyPeriodic
-	if !isBounded || room.Deferrable >= free {
-		room.Deferrable = unboundedRoom
+	if !isBounded || capacity.Deferrable >= free {
+		capacity.Deferrable = unbounded
 	}
-	return room
+	return capacity
 }
 
-// roomLabel names what bounds the items that wait.
-func roomLabel(room batchcapacity.Capacity, waiting int) string {
+// capacityLabel names what bounds the items that wait.
+func capacityLabel(capacity batchcapacity.Capacity, waiting int) string {
 	switch {
-	case waiting <= room.Deferrable:
+	case waiting <= capacity.Deferrable:
 		return "all"
-	case room.Period > 0:
+	case capacity.Period > 0:
 		return "rhythm"
 	}
 	return "reserve"
@@ -138,13 +138,13 @@
 }
 
 // mustRun reports whether an item cannot wait for a burst to pass.
-func (s *Service) mustRun(waiting *work, service string, now time.Time) bool {
+func (s *Service) mustRun(item *work, service string, now time.Time) bool {
 	itemTime := s.itemTime()
 	share := s.placer.share(service)
 	timing := batchcapacity.Timing{
-		UntilDue: waiting.owner.due.Sub(now), Remaining: max(itemTime-waiting.owner.ranFor(waiting, now), itemTime/4), Spare: urgentSlack,
+		UntilDue: item.owner.due.Sub(now), Remaining: max(itemTime-item.owner.ranFor(item, now), itemTime/4), Spare: urgentSlack,
 		Wait: share.wait(itemTime),
 	}
-	backlog := batchcapacity.Backlog{Waiting: s.placer.all, MeanSlots: share.places, ItemTime: itemTime}
+	backlog := batchcapacity.Backlog{Waiting: s.placer.allWaiting, MeanSlots: share.meanSlots, ItemTime: itemTime}
 	return batchcapacity.MustRun(timing, backlog)
 }
--- a/internal/job/held.go
+++ b/internal/job/buffering.go
@@ -23,27 +23,27 @@
 
 // How the holding of a submission ended, as labels of the metric.
 const (
-	holdReturned = "store_returned"
-	holdExpired  = "time_over"
-	holdRefused  = "no_room"
+	bufferingReturned = "store_returned"
+	bufferingExpired  = "time_over"
+	bufferingRefused  = "no_room"
 )
 
-// awayError tells that a submission was not tried because the store is away.
-type awayError struct {
-	awayFor time.Duration
-	heldFor time.Duration
+// unavailableError tells that a submission was not tried because the store is away.
+type unavailableError struct {
+	unavailableFor time.Duration
+	bufferedFor    time.Duration
 }
 
 // Error implements error.
-func (e *awayError) Error() string {
-	return fmt.Sprintf("the store is away: away_ms=%d held_ms=%d", e.awayFor.Milliseconds(), e.heldFor.Milliseconds())
+func (e *unavailableError) Error() string {
+	return fmt.Sprintf("store unavailable: away_ms=%d held_ms=%d", e.unavailableFor.Milliseconds(), e.bufferedFor.Milliseconds())
 }
 
-// holdWhileAway holds a submission until the store answers, and reports whether it was
+// bufferWhileUnavailable holds a submission until the store answers, and reports whether it was
 // held. A failure promises that nothing of it was sent to the store by this call since it
 // is held.
-func (s *Service) holdWhileAway(caller context.Context, submitted Job) (wasHeld bool, err error) {
-	if !s.isStoreAway() {
+func (s *Service) bufferWhileUnavailable(caller context.Context, submitted Job) (wasBuffered bool, err error) {
+	if !s.isStoreUnavailable() {
 		return false, nil
 	}
 	ctx, cancel := context.WithCancel(caller)
@@ -51,49 +51,49 @@
 	// A daemon that stops must not keep callers longer than it may take to stop.
 	defer context.AfterFunc(s.stopped, cancel)()
 	started := time.Now()
-	leave, isHeld := s.held.Add(submitted.contentBytes())
+	remove, isBuffered := s.held.Add(submitted.contentBytes())
 	switch {
-	case isHeld:
+	case isBuffered:
 	case s.availability.Recheck(ctx):
 		// What is too large to be held must not be refused for an outage that is over.
 		return false, nil
 	default:
-		return false, s.endHold(submitted, started, holdRefused)
+		return false, s.endBuffering(submitted, started, bufferingRefused)
 	}
-	defer leave()
-	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.held.Count(), "away_ms", s.awayFor(started).Milliseconds())
+	defer remove()
+	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.held.Count(), "away_ms", s.unavailableFor(started).Milliseconds())
 	if s.availability.AwaitReturn(ctx) {
-		return true, s.endHold(submitted, started, holdReturned)
+		return true, s.endBuffering(submitted, started, bufferingReturned)
 	}
-	return true, s.endHold(submitted, started, holdExpired)
+	return true, s.endBuffering(submitted, started, bufferingExpired)
 }
 
-// endHold accounts for a submission that is held no more, and makes the failure of one
+// endBuffering accounts for a submission that is held no more, and makes the failure of one
 // that was not held to the store's return.
-func (s *Service) endHold(submitted Job, started time.Time, outcome string) error {
+func (s *Service) endBuffering(submitted Job, started time.Time, outcome string) error {
 	now := time.Now()
-	awayFor, heldFor := s.awayFor(now), now.Sub(started)
+	unavailableFor, bufferedFor := s.unavailableFor(now), now.Sub(started)
 	s.metrics.Held.WithLabelValues(outcome).Inc()
-	s.log.Info("job_hold_ended", "job", submitted.ID, "outcome", outcome, "held_ms", heldFor.Milliseconds(), "away_ms", awayFor.Milliseconds())
-	if outcome == holdReturned {
+	s.log.Info("job_hold_ended", "job", submitted.ID, "outcome", outcome, "held_ms", bufferedFor.Milliseconds(), "away_ms", unavailableFor.Milliseconds())
+	if outcome == bufferingReturned {
 		return nil
 	}
-	refused := failure.From(unavailable(&awayError{awayFor: awayFor, heldFor: heldFor}))
-	return refused.WithRetryAfter(submissionbuffer.RetryAfter(awayFor, outcome == holdExpired))
+	refused := failure.From(unavailable(&unavailableError{unavailableFor: unavailableFor, bufferedFor: bufferedFor}))
+	return refused.WithRetryAfter(submissionbuffer.RetryAfter(unavailableFor, outcome == bufferingExpired))
 }
 
-// isStoreAway reports whether submissions are held.
-func (s *Service) isStoreAway() bool {
+// isStoreUnavailable reports whether submissions are held.
+func (s *Service) isStoreUnavailable() bool {
 	if s.availability == nil {
 		return false
 	}
-	_, isAway := s.availability.AwayFor(time.Now())
-	return isAway
+	_, isUnavailable := s.availability.AwayFor(time.Now())
+	return isUnavailable
 }
 
-func (s *Service) awayFor(now time.Time) time.Duration {
-	awayFor, _ := s.availability.AwayFor(now)
-	return awayFor
+func (s *Service) unavailableFor(now time.Time) time.Duration {
+	unavailableFor, _ := s.availability.AwayFor(now)
+	return unavailableFor
 }
 
 // awaitStore waits until a store that is away answers; it reports false when the context
@@ -102,9 +102,9 @@
 	return s.availability == nil || s.availability.AwaitReturn(ctx)
 }
 
-// isWorthHolding reports whether a submission that failed may be held and tried again:
+// isBufferable reports whether a submission that failed may be held and tried again:
 // nothing of it can take effect any more, and its caller still waits.
-func isWorthHolding(ctx context.Context, err error) bool {
+func isBufferable(ctx context.Context, err error) bool {
 	failed := failure.From(err)
 	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeEndedEarly
 }
--- a/internal/job/bursts_test.go
+++ b/internal/job/bursts_test.go
@@ -51,7 +51,7 @@
 	waiting []*loadItem
 	running []*loadItem
 	placer  *placer
-	rooms   *rooms
+	rooms   *capacityTracker
 }
 
 // loadRequest is an online request without a place yet.
@@ -99,7 +99,7 @@
 func newLoadWorld(policy batchcapacity.Policy, seed uint64) *loadWorld {
 	world := &loadWorld{arrivals: rand.New(rand.NewPCG(1, seed)), random: rand.New(rand.NewPCG(2, seed)), now: time.Unix(1000, 0)}
 	for index := range uint64(loadOwners) {
-		owner := &loadOwner{age: 100*time.Millisecond + time.Duration(world.random.IntN(300))*time.Millisecond, rooms: newRooms(policy, rand.New(rand.NewPCG(index, seed)))}
+		owner := &loadOwner{age: 100*time.Millisecond + time.Duration(world.random.IntN(300))*time.Millisecond, rooms: newCapacityTracker(policy, rand.New(rand.NewPCG(index, seed)))}
 		owner.placer = newPlacer(rand.New(rand.NewPCG(seed, index)), "", func(string, time.Time) batchcapacity.Capacity { return world.roomOf(owner) })
 		world.owners = append(world.owners, owner)
 	}
@@ -215,7 +215,7 @@
 	if at%dispatchInterval != 0 {
 		return
 	}
-	owner.rooms.note("s", w.load(owner), w.now)
+	owner.rooms.recordLoad("s", w.load(owner), w.now)
 	if owner.placer.isPaused(w.now) {
 		return
 	}
@@ -230,8 +230,8 @@
 
 func (w *loadWorld) place(owner *loadOwner, item *loadItem) {
 	timing := batchcapacity.Timing{UntilDue: item.due.Sub(w.now), Remaining: max(item.left, loadItemTime/4), Spare: urgentSlack, Wait: owner.placer.share("s").wait(loadItemTime)}
-	backlog := batchcapacity.Backlog{Waiting: owner.placer.all, MeanSlots: owner.placer.share("s").places, ItemTime: loadItemTime}
-	if owner.placer.isFull("s") || !owner.placer.hasRoom("s", batchcapacity.MustRun(timing, backlog)) {
+	backlog := batchcapacity.Backlog{Waiting: owner.placer.allWaiting, MeanSlots: owner.placer.share("s").meanSlots, ItemTime: loadItemTime}
+	if owner.placer.isFull("s") || !owner.placer.hasCapacity("s", batchcapacity.MustRun(timing, backlog)) {
 		return
 	}
 	chosen, found := owner.placer.choose("s", nil, w.candidates(owner))
@@ -333,11 +333,11 @@
 	}
 	item := w.items[index][w.random.IntN(len(w.items[index]))]
 	owner := item.owner
-	if owner.rooms.policy != batchcapacity.PolicyFree && !owner.rooms.mustGiveWay("s", w.load(owner), len(owner.running), loadPicture, w.now) {
+	if owner.rooms.policy != batchcapacity.PolicyFree && !owner.rooms.mustPreempt("s", w.load(owner), len(owner.running), loadPicture, w.now) {
 		return
 	}
 	owner.placer.avoid(fmt.Sprint("b", index), w.now.Add(loadPicture))
-	owner.placer.pause(w.now.Add(givenWayPause))
+	owner.placer.pause(w.now.Add(preemptionPause))
 	w.leave(item)
 	item.left -= w.now.Sub(item.since)
 	item.notBefore = w.now.Add(refusedPause)
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -16,19 +16,19 @@
 
 const (
 	dispatchInterval = 100 * time.Millisecond
-	// yieldInterval is longer than the time in which owners learn of each
+	// preemptInterval is longer than the time in which owners learn of each
 	// other's items, so that what was taken back is not taken back twice.
-	yieldInterval = 200 * time.Millisecond
-	// crowdedPause is the shortest time between two looks at crowded backends,
+	preemptInterval = 200 * time.Millisecond
+	// overloadPause is the shortest time between two looks at crowded backends,
 	// in which others hear of what gave way.
-	crowdedPause = 10 * time.Millisecond
-	// givenWayPause is how long an owner sends no items after it was asked to give
+	overloadPause = 10 * time.Millisecond
+	// preemptionPause is how long an owner sends no items after it was asked to give
 	// way: online requests find no places, and free slots that it knows of are
 	// taken. Bursts bring such questions many times a second.
-	givenWayPause = 250 * time.Millisecond
-	// batchTolerance is the difference in cost, in milliseconds, that does not
+	preemptionPause = 250 * time.Millisecond
+	// batchCostTolerance is the difference in cost, in milliseconds, that does not
 	// matter to batch items.
-	batchTolerance = 40
+	batchCostTolerance = 40
 )
 
 // dispatchItems sends waiting items to backends with room, and takes items
@@ -37,26 +37,26 @@
 func (s *Service) dispatchItems(ctx context.Context) {
 	dispatch := time.NewTicker(dispatchInterval)
 	defer dispatch.Stop()
-	yield := time.NewTicker(yieldInterval)
-	defer yield.Stop()
+	preempt := time.NewTicker(preemptInterval)
+	defer preempt.Stop()
 	isIdle := false
 	for {
 		if ownsNone := s.Owned() == 0; ownsNone != isIdle {
 			isIdle = ownsNone
-			s.pauseTickers(isIdle, dispatch, yield)
+			s.pauseTickers(isIdle, dispatch, preempt)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-yield.C:
-			s.yieldItems()
-			s.resetYield(isIdle, yield)
+		case <-preempt.C:
+			s.preemptExcess()
+			s.resetPreempt(isIdle, preempt)
 		case <-s.backends.Overloaded():
-			s.yieldItems()
-			s.resetYield(isIdle, yield)
-			periodic.Sleep(ctx, crowdedPause)
+			s.preemptExcess()
+			s.resetPreempt(isIdle, preempt)
+			periodic.Sleep(ctx, overloadPause)
 		case id := <-s.backends.OwnPreemptions():
-			s.giveWay(id)
+			s.preemptOne(id)
 		case <-dispatch.C:
 			s.dispatchWaiting()
 		case <-s.wake:
@@ -65,23 +65,23 @@
 	}
 }
 
-// resetYield sets when running items are looked at again, if any job is owned.
-func (s *Service) resetYield(isIdle bool, yield *time.Ticker) {
+// resetPreempt sets when running items are looked at again, if any job is owned.
+func (s *Service) resetPreempt(isIdle bool, preempt *time.Ticker) {
 	if !isIdle {
-		yield.Reset(s.yielder.nextLook())
+		preempt.Reset(s.yielder.nextCheck())
 	}
 }
 
 // pauseTickers stops the dispatcher's tickers while no job is owned.
-func (s *Service) pauseTickers(isIdle bool, dispatch, yield *time.Ticker) {
+func (s *Service) pauseTickers(isIdle bool, dispatch, preempt *time.Ticker) {
 	if isIdle {
 		dispatch.Stop()
-		yield.Stop()
+		preempt.Stop()
 		s.backends.SetOwnWaiting(0)
 		return
 	}
 	dispatch.Reset(dispatchInterval)
-	yield.Reset(yieldInterval)
+	preempt.Reset(preemptInterval)
 }
 
 // dispatchWaiting sends items, those due first first.
@@ -135,25 +135,25 @@
 // dispatch sends one item if a backend has room, or gives it up if its time
 // is over. It reports false when the item goes on waiting.
 func (s *Service) dispatch(waiting *work, now time.Time) bool {
-	held := waiting.owner
+	owner := waiting.owner
 	if waiting.malformed != nil {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
-		s.log.Info("item_abandoned", "job", held.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		s.log.Info("item_abandoned", "job", owner.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
+		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
-	if !held.giveUp.IsZero() && now.After(held.giveUp) {
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+	if !owner.giveUp.IsZero() && now.After(owner.giveUp) {
+		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
-	matched, service, found := s.routeOf(held.job.Host, waiting.item)
+	matched, service, found := s.routeOf(owner.job.Host, waiting.item)
 	if !found {
 		return false // its route is not known here
 	}
-	if s.restQuarantined(waiting, now) || s.placer.isFull(service) {
+	if s.postponeQuarantined(waiting, now) || s.placer.isFull(service) {
 		return false
 	}
-	if !s.placer.hasRoom(service, s.mustRun(waiting, service, now)) {
+	if !s.placer.hasCapacity(service, s.mustRun(waiting, service, now)) {
 		return false
 	}
 	candidates := s.backends.Candidates(service, waiting.item.Prompt, now)
@@ -165,17 +165,17 @@
 	if !found {
 		return false
 	}
-	ctx, cancel := context.WithCancel(held.ctx)
-	held.mutex.Lock()
+	ctx, cancel := context.WithCancel(owner.ctx)
+	owner.mutex.Lock()
 	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isYielding = itemRunning, chosen.ID, now, cancel, false
-	held.mutex.Unlock()
+	owner.mutex.Unlock()
 	permit := func() error {
 		err := s.permit(waiting)
 		if err == nil {
-			number, epoch := held.countSend(waiting)
-			s.log.Info("item_sent", "job", held.job.ID, "item", waiting.item.ID, "backend", chosen.ID, "epoch", epoch, "attempt", number,
-				"kind", string(serving.KindOfSend(number, waiting.progress.last())), "due_ms", held.due.Sub(now).Milliseconds(), "last_event", waiting.progress.last(),
-				"online", chosen.Online, "batch", chosen.Batch, "slots", chosen.Slots, "report_age_ms", shownAge(chosen.ReportAge), "claims_age_ms", shownAge(s.claimsAge()))
+			number, epoch := owner.countSend(waiting)
+			s.log.Info("item_sent", "job", owner.job.ID, "item", waiting.item.ID, "backend", chosen.ID, "epoch", epoch, "attempt", number,
+				"kind", string(serving.KindOfSend(number, waiting.progress.lastID())), "due_ms", owner.due.Sub(now).Milliseconds(), "last_event", waiting.progress.lastID(),
+				"online", chosen.Online, "batch", chosen.Batch, "slots", chosen.Slots, "report_age_ms", ageMillis(chosen.ReportAge), "claims_age_ms", ageMillis(s.claimsAge()))
 		}
 		return err
 	}
@@ -195,22 +195,22 @@
 	return leaving.sends, o.claim.claim.Epoch
 }
 
-// restQuarantined has an item that is quarantined wait, and reports whether it
+// postponeQuarantined has an item that is quarantined wait, and reports whether it
 // is. It takes no part of the room, and is given up when its time is over.
-func (s *Service) restQuarantined(waiting *work, now time.Time) bool {
+func (s *Service) postponeQuarantined(waiting *work, now time.Time) bool {
 	if s.quarantine == nil {
 		return false
 	}
-	verdict, isHeld := s.quarantine.Verdict(waiting.fingerprint)
-	if !isHeld {
+	verdict, isQuarantined := s.quarantine.Verdict(waiting.fingerprint)
+	if !isQuarantined {
 		return false
 	}
 	waiting.owner.mutex.Lock()
 	waiting.notBefore = now.Add(quarantinedPause)
-	isTold := waiting.isQuarantined
+	wasLogged := waiting.isQuarantined
 	waiting.isQuarantined = true
 	waiting.owner.mutex.Unlock()
-	if isTold {
+	if wasLogged {
 		return true
 	}
 	s.log.Info("item_quarantined", "job", waiting.owner.job.ID, "item", waiting.item.ID, "fingerprint", waiting.fingerprint.String(),
@@ -218,10 +218,10 @@
 	return true
 }
 
-// longestAge stands in logs for all that is older, or was never told.
-const longestAge = time.Hour
+// maxShownAge stands in logs for all that is older, or was never told.
+const maxShownAge = time.Hour
 
-func shownAge(age time.Duration) int64 { return min(age, longestAge).Milliseconds() }
+func ageMillis(age time.Duration) int64 { return min(age, maxShownAge).Milliseconds() }
 
 // routeOf returns the job route of an item and the service that the item goes to. The
 // configuration may have given the item's path to a route for online requests since the
@@ -246,9 +246,9 @@
 	return s.clock.isUrgent(ran, waiting.owner.due.Sub(now))
 }
 
-// yieldItems takes items back from backends that have no slot left for
+// preemptExcess takes items back from backends that have no slot left for
 // online requests.
-func (s *Service) yieldItems() {
+func (s *Service) preemptExcess() {
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
 	s.mutex.Unlock()
@@ -264,18 +264,18 @@
 			running[item.backend] = append(running[item.backend], runningItem{work: item, isUrgent: s.isUrgent(item, now)})
 		}
 	}
-	for _, candidate := range s.loadsOf(running) {
-		for _, item := range s.itemsToYield(candidate, running[candidate.ID], now, window) {
+	for _, candidate := range s.preemptableLoads(running) {
+		for _, item := range s.itemsToPreempt(candidate, running[candidate.ID], now, window) {
 			s.log.Info("item_yielded", "job", item.owner.job.ID, "item", item.item.ID, "backend", candidate.ID, "urgent", item.isUrgent,
-				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.last())
+				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.lastID())
 			item.yield()
 		}
 	}
 }
 
-// giveWay takes one item back from a backend for an online request that waits
+// preemptOne takes one item back from a backend for an online request that waits
 // there, and leaves its slot alone until all owners have heard of the request.
-func (s *Service) giveWay(id string) {
+func (s *Service) preemptOne(id string) {
 	now := time.Now()
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
@@ -288,23 +288,23 @@
 			}
 		}
 	}
-	if len(items) > 0 && !s.mustGiveWay(id, now) {
+	if len(items) > 0 && !s.mustPreempt(id, now) {
 		return
 	}
 	s.placer.avoid(id, now.Add(s.propagationWindow()))
-	s.placer.pause(now.Add(givenWayPause))
+	s.placer.pause(now.Add(preemptionPause))
 	if len(items) == 0 {
 		return
 	}
-	sortForYielding(items)
+	sortForPreemption(items)
 	chosen := items[0]
-	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.last())
+	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.lastID())
 	chosen.yield()
 }
 
-// sortForYielding puts those items first that give way first: the ones that are
+// sortForPreemption puts those items first that give way first: the ones that are
 // not urgent, and among them those due last.
-func sortForYielding(items []runningItem) {
+func sortForPreemption(items []runningItem) {
 	sort.Slice(items, func(a, b int) bool {
 		if items[a].isUrgent != items[b].isUrgent {
 			return items[b].isUrgent
@@ -319,15 +319,15 @@
 	isUrgent bool
 }
 
-// itemsToYield chooses which of the items at a backend are taken back.
-func (s *Service) itemsToYield(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
+// itemsToPreempt chooses which of the items at a backend are taken back.
+func (s *Service) itemsToPreempt(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
 	count := s.yielder.share(candidate, now, window)
-	sortForYielding(items)
+	sortForPreemption(items)
 	return items[:min(count, len(items))]
 }
 
-// loadsOf returns the load of backends at which items run.
-func (s *Service) loadsOf(running map[string][]runningItem) []routing.Candidate {
+// preemptableLoads returns the load of backends at which items run.
+func (s *Service) preemptableLoads(running map[string][]runningItem) []routing.Candidate {
 	services := map[string]bool{}
 	for id := range running {
 		if instance, found := s.backends.Get(id); found {
@@ -337,9 +337,9 @@
 	loads := []routing.Candidate{}
 	now := time.Now()
 	for service := range services {
-		isRoomy := s.isRoomy(service, now)
+		hasFreeSlots := s.hasFreeSlots(service, now)
 		for _, candidate := range s.backends.Candidates(service, nil, now) {
-			if len(running[candidate.ID]) > 0 && s.yielder.stands(candidate, isRoomy, now) {
+			if len(running[candidate.ID]) > 0 && s.yielder.isExcessDue(candidate, hasFreeSlots, now) {
 				loads = append(loads, candidate)
 			}
 		}
--- a/internal/job/export_test.go
+++ b/internal/job/export_test.go
@@ -50,7 +50,7 @@
 }
 
 // IsStoreAway reports whether submissions are held.
-func (s *Service) IsStoreAway() bool { return s.isStoreAway() }
+func (s *Service) IsStoreAway() bool { return s.isStoreUnavailable() }
 
 // Held returns how many submissions are held.
 func (s *Service) Held() int { return s.held.Count() }
--- a/internal/job/owned.go
+++ b/internal/job/owned.go
@@ -191,9 +191,9 @@
 	o.cancel()
 	o.announceCommit()
 	if reason.isOver() {
-		s.noteOver(o)
+		s.settleEnded(o)
 	}
-	s.log.Info("job_dropped", "job", o.job.ID, "reason", string(reason), "epoch", o.claim.claim.Epoch, "version", o.claim.version, "claims_age_ms", shownAge(s.claimsAge()))
+	s.log.Info("job_dropped", "job", o.job.ID, "reason", string(reason), "epoch", o.claim.claim.Epoch, "version", o.claim.version, "claims_age_ms", ageMillis(s.claimsAge()))
 }
 
 // nextCommit returns a channel that is closed at the next commit.
--- a/internal/job/pacing_test.go
+++ b/internal/job/pacing_test.go
@@ -54,7 +54,7 @@
 		taken := 0
 		for range rounds {
 			for _, part := range parts {
-				share := newYielder(random).share(routing.Candidate{Slots: slots, Online: online, Batch: batch, OwnBatch: part}, time.Now(), window)
+				share := newPreemptor(random).share(routing.Candidate{Slots: slots, Online: online, Batch: batch, OwnBatch: part}, time.Now(), window)
 				require.LessOrEqual(t, share, part)
 				require.GreaterOrEqual(t, share, 0)
 				taken += share
@@ -76,7 +76,7 @@
 		candidate := routing.Candidate{
 			Slots: rapid.IntRange(1, 40).Draw(t, "slots"), Online: rapid.IntRange(0, 40).Draw(t, "online"), Batch: rapid.IntRange(0, 40).Draw(t, "batch"),
 		}
-		room := roomForBatch(candidate)
+		room := freeBatchSlots(candidate)
 		require.GreaterOrEqual(t, room, 0)
 		if room == 0 {
 			return
@@ -84,7 +84,7 @@
 		require.LessOrEqual(t, candidate.Online+candidate.Batch+room, candidate.Slots)
 		candidate.Batch += room
 		candidate.OwnBatch = candidate.Batch
-		require.Zero(t, newYielder(rand.New(rand.NewPCG(5, 5))).share(candidate, time.Now(), window))
+		require.Zero(t, newPreemptor(rand.New(rand.NewPCG(5, 5))).share(candidate, time.Now(), window))
 	})
 }
 
@@ -157,13 +157,13 @@
 
 // TestUrgencyFollowsTheTimeThatItemsTake.
 func TestUrgencyFollowsTheTimeThatItemsTake(t *testing.T) {
-	clock := itemClock{}
+	clock := itemTimes{}
 	require.False(t, clock.isUrgent(0, 20*time.Second))
 	require.True(t, clock.isUrgent(0, 10*time.Second))
 	require.False(t, clock.isUrgent(4*time.Second, 10*time.Second), "most of it has run")
 	require.False(t, clock.isUrgent(0, -time.Second), "its time is over")
 	for range 200 {
-		clock.note(time.Second)
+		clock.add(time.Second)
 	}
 	require.False(t, clock.isUrgent(0, 10*time.Second), "items turned out to be short")
 }
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -15,51 +15,51 @@
 // the copy is no older than 1.5 s, directly and behind an upstream.
 const claimsAgeLimit = 2 * time.Second
 
-// withheldError tells why an item may not be started now.
-type withheldError struct {
-	reason withheldReason
+// permitError tells why an item may not be started now.
+type permitError struct {
+	reason refusalReason
 	// claimsAge is how old the claims were.
 	claimsAge time.Duration
 }
 
-// withheldReason names a reason to start no items.
-type withheldReason string
+// refusalReason names a reason to start no items.
+type refusalReason string
 
 // The reasons.
 const (
-	withheldOldClaims withheldReason = "old_claims"
-	withheldDropped   withheldReason = "job_dropped"
-	withheldEnding    withheldReason = "job_ending"
+	refusedOldClaims refusalReason = "old_claims"
+	refusedDropped   refusalReason = "job_dropped"
+	refusedEnding    refusalReason = "job_ending"
 )
 
 // Error implements error.
-func (e *withheldError) Error() string {
-	return "the item is withheld: " + string(e.reason) + ", claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
+func (e *permitError) Error() string {
+	return "permit refused: " + string(e.reason) + ", claims_age_ms=" + strconv.FormatInt(ageMillis(e.claimsAge), 10)
 }
 
 // permit returns an error unless an item may reach a backend now. It is asked when
 // the connection is there, just before the first byte leaves: what was known when the
 // item was placed may be old by then.
-func (s *Service) permit(starting *work) error {
+func (s *Service) permit(item *work) error {
 	age := s.claimsAge()
-	held := starting.owner
-	held.mutex.Lock()
-	isDropped := held.dropped
-	held.mutex.Unlock()
+	owner := item.owner
+	owner.mutex.Lock()
+	isDropped := owner.dropped
+	owner.mutex.Unlock()
 	switch {
 	case isDropped:
-		return withheld(withheldDropped, age)
+		return permitRefused(refusedDropped, age)
 	case age > claimsAgeLimit:
-		return withheld(withheldOldClaims, age)
-	case s.endings.isHeld(held.job.ID):
-		return withheld(withheldEnding, age)
+		return permitRefused(refusedOldClaims, age)
+	case s.endings.isHeld(owner.job.ID):
+		return permitRefused(refusedEnding, age)
 	}
 	return nil
 }
 
-func withheld(reason withheldReason, claimsAge time.Duration) error {
+func permitRefused(reason refusalReason, claimsAge time.Duration) error {
 	return &serving.AttemptError{
-		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &withheldError{reason: reason, claimsAge: claimsAge},
+		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &permitError{reason: reason, claimsAge: claimsAge},
 	}
 }
 
@@ -74,7 +74,7 @@
 		if isOld {
 			event = "claims_too_old"
 		}
-		s.log.Info(event, "claims_age_ms", shownAge(age), "limit_ms", claimsAgeLimit.Milliseconds(), "jobs", s.Owned())
+		s.log.Info(event, "claims_age_ms", ageMillis(age), "limit_ms", claimsAgeLimit.Milliseconds(), "jobs", s.Owned())
 	}
 	return !isOld
 }
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -25,28 +25,28 @@
 
 const (
 	checkpointInterval = time.Second
-	// checkpointEvents is how many events an item must have made since its
+	// minCheckpointEvents is how many events an item must have made since its
 	// last checkpoint.
-	checkpointEvents = 16
-	// checkpointItems bounds the rows of one transaction, and checkpointBytes the
+	minCheckpointEvents = 16
+	// maxCheckpoints bounds the rows of one transaction, and maxCheckpointText the
 	// text of one row.
-	checkpointItems = 40
-	checkpointBytes = 40 << 10
-	// checkpointsBytes bounds the text of one transaction: checkpoints save work
+	maxCheckpoints    = 40
+	maxCheckpointText = 40 << 10
+	// maxCommitText bounds the text of one transaction: checkpoints save work
 	// and must not keep results waiting on a slow link.
-	checkpointsBytes = 128 << 10
+	maxCommitText = 128 << 10
 )
 
 func progressKey(id, item string) string { return id + "/" + item }
 
 // progress is what the attempts at an item have produced. mutex guards it.
 type progress struct {
-	mutex     sync.Mutex
-	content   []byte
-	hasText   bool
-	lastEvent int64
-	saved     int64
-	isSaved   bool
+	mutex      sync.Mutex
+	content    []byte
+	hasText    bool
+	lastEvent  int64
+	savedEvent int64
+	isSaved    bool
 	// failures counts the attempts that a backend answered with an error, of
 	// all owners; savedFailures is the count in the last checkpoint.
 	failures      int
@@ -70,19 +70,19 @@
 }
 
 // fail counts an attempt that a backend answered with an error.
-func (p *progress) fail() {
+func (p *progress) addFailure() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.failures++
 }
 
-func (p *progress) failed() int {
+func (p *progress) failureCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.failures
 }
 
-func (p *progress) last() int64 {
+func (p *progress) lastID() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.lastEvent
@@ -119,7 +119,7 @@
 		return
 	}
 	p.content, p.hasText = []byte(from.Text), true
-	p.lastEvent, p.saved = from.LastEvent, from.LastEvent
+	p.lastEvent, p.savedEvent = from.LastEvent, from.LastEvent
 }
 
 // due returns a checkpoint if at least so many events came since the last one,
@@ -128,9 +128,9 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	hasFailed := p.failures > p.savedFailures
-	hasText := p.content != nil && len(p.content) <= checkpointBytes
-	hasNews := hasText && p.lastEvent-p.saved >= events
-	if !hasFailed && !hasNews {
+	hasText := p.content != nil && len(p.content) <= maxCheckpointText
+	hasNewEvents := hasText && p.lastEvent-p.savedEvent >= events
+	if !hasFailed && !hasNewEvents {
 		return checkpoint{}, false
 	}
 	taken := checkpoint{Failures: p.failures}
@@ -144,28 +144,28 @@
 func (p *progress) unsaved() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.lastEvent - p.saved
+	return p.lastEvent - p.savedEvent
 }
 
-// noteSaved records that a checkpoint may be in the store. What it holds is
+// recordSaved records that a checkpoint may be in the store. What it holds is
 // trusted only when isCertain: a lost answer may leave a row behind.
-func (p *progress) noteSaved(taken checkpoint, isCertain bool) {
+func (p *progress) recordSaved(taken checkpoint, isCertain bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.isSaved = true
 	if isCertain {
-		p.saved, p.savedFailures = max(p.saved, taken.LastEvent), max(p.savedFailures, taken.Failures)
+		p.savedEvent, p.savedFailures = max(p.savedEvent, taken.LastEvent), max(p.savedFailures, taken.Failures)
 	}
 }
 
-// saveAll writes checkpoints of all owned jobs until the context ends.
-func (s *Service) saveAll(ctx context.Context) {
+// saveCheckpoints writes checkpoints of all owned jobs until the context ends.
+func (s *Service) saveCheckpoints(ctx context.Context) {
 	periodic.Run(ctx, checkpointInterval, func() {
 		s.mutex.Lock()
 		jobs := s.ownedJobs()
 		s.mutex.Unlock()
 		for _, each := range jobs {
-			each.saveProgress(ctx, checkpointEvents)
+			each.saveProgress(ctx, minCheckpointEvents)
 		}
 	})
 }
@@ -178,13 +178,13 @@
 	}
 	saved := map[*work]checkpoint{}
 	size := 0
-	for _, each := range o.longestUnsaved() {
+	for _, each := range o.byUnsavedEvents() {
 		taken, isDue := each.progress.due(events)
 		if !isDue {
 			continue
 		}
 		size += len(taken.Text)
-		if len(saved) == checkpointItems || (size > checkpointsBytes && len(saved) > 0) {
+		if len(saved) == maxCheckpoints || (size > maxCommitText && len(saved) > 0) {
 			break
 		}
 		value, err := avro.Marshal(checkpointSchema, taken)
@@ -198,14 +198,14 @@
 		return
 	}
 	for each, taken := range saved {
-		each.progress.noteSaved(taken, false)
+		each.progress.recordSaved(taken, false)
 	}
 	if _, err := o.service.commit(ctx, transaction); err != nil {
 		o.service.log.Info("checkpoint_failed", "job", o.job.ID, "items", len(saved), "error", err)
 		return
 	}
 	for each, taken := range saved {
-		each.progress.noteSaved(taken, true)
+		each.progress.recordSaved(taken, true)
 	}
 }
 
@@ -221,9 +221,9 @@
 	return found
 }
 
-// longestUnsaved returns the unfinished items, those with the most events since
+// byUnsavedEvents returns the unfinished items, those with the most events since
 // their last checkpoint first.
-func (o *owned) longestUnsaved() []*work {
+func (o *owned) byUnsavedEvents() []*work {
 	found := o.unfinished()
 	unsaved := make(map[*work]int64, len(found))
 	for _, each := range found {
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -105,8 +105,8 @@
 	// claimsAreOld belongs to it too.
 	claimsAreOld bool
 	placer       *placer
-	rooms        *rooms
-	yielder      *yielder
+	rooms        *capacityTracker
+	yielder      *preemptor
 	quota        *quota.Accounts
 	quarantine   *quarantine.Guard
 	claimsAge    func() time.Duration
@@ -117,7 +117,7 @@
 	pageLimit    pageLimit
 
 	mutex sync.Mutex
-	clock itemClock
+	clock itemTimes
 	// claims are the claim rows as of the version followed. Only the follower
 	// changes them.
 	claims   map[string]versionedClaim
@@ -133,7 +133,7 @@
 	owned     map[string]*owned
 	accepted  map[string]acceptance
 	// over are jobs that ended here and whose account was not told yet.
-	over       map[string]overJob
+	over       map[string]endedJob
 	submission int64
 	stopping   bool
 }
@@ -154,12 +154,12 @@
 		holder: dependencies.Holder, peers: dependencies.Peers, metrics: dependencies.Metrics, log: dependencies.Logger,
 		connections: dependencies.Connections, settledAt: time.Now().Add(dependencies.SettlingTime),
 		lifetime: lifetime, end: end, stopped: stopped, stop: stop, wake: make(chan struct{}, 1),
-		rooms: newRooms(dependencies.BatchCapacity, newRandom()), yielder: newYielder(newRandom()),
+		rooms: newCapacityTracker(dependencies.BatchCapacity, newRandom()), yielder: newPreemptor(newRandom()),
 		claims: map[string]versionedClaim{}, gone: map[string]table.Version{}, orphans: map[string]time.Time{}, claimedAt: map[string]time.Time{}, takeovers: newTakeovers(), owned: map[string]*owned{}, accepted: map[string]acceptance{},
 		quota: dependencies.Quota, quarantine: dependencies.Quarantine, claimsAge: dependencies.ClaimsAge,
-		availability: dependencies.Availability, held: submissionbuffer.New(dependencies.SubmissionLimits), over: map[string]overJob{}, sweeper: newSweeper(), endings: newEndings(),
+		availability: dependencies.Availability, held: submissionbuffer.New(dependencies.SubmissionLimits), over: map[string]endedJob{}, sweeper: newSweeper(), endings: newEndings(),
 	}
-	service.placer = newPlacer(newRandom(), dependencies.Zone, service.roomAt)
+	service.placer = newPlacer(newRandom(), dependencies.Zone, service.batchCapacity)
 	return service
 }
 
@@ -172,7 +172,7 @@
 		s.end()
 	}()
 	go s.superviseClaims(ctx)
-	go s.saveAll(ctx)
+	go s.saveCheckpoints(ctx)
 	go s.observeDemand(ctx)
 	if s.quota != nil {
 		go s.settleAll(ctx)
--- a/internal/job/sweep.go
+++ b/internal/job/sweep.go
@@ -27,12 +27,12 @@
 // belongs to one goroutine.
 type sweeper struct {
 	// seen is by account, and by the version of a reservation's row.
-	seen map[string]map[table.Version]time.Time
-	at   map[string]time.Time
+	firstSeen map[string]map[table.Version]time.Time
+	lastSweep map[string]time.Time
 }
 
 func newSweeper() sweeper {
-	return sweeper{seen: map[string]map[table.Version]time.Time{}, at: map[string]time.Time{}}
+	return sweeper{firstSeen: map[string]map[table.Version]time.Time{}, lastSweep: map[string]time.Time{}}
 }
 
 // sweepAll takes back the reservations that daemons left behind, until the
@@ -58,10 +58,10 @@
 // isDue reports whether a daemon of this rank should look now.
 func (w *sweeper) isDue(name string, rank int, now time.Time) bool {
 	pause := sweepInterval * time.Duration(1+rank*sweepRanks)
-	if rank >= sweepRanks || now.Sub(w.at[name]) < pause-sweepInterval/2 {
+	if rank >= sweepRanks || now.Sub(w.lastSweep[name]) < pause-sweepInterval/2 {
 		return false
 	}
-	w.at[name] = now
+	w.lastSweep[name] = now
 	return true
 }
 
@@ -91,16 +91,16 @@
 		s.log.Info("sweep_failed", "account", account, "error", err)
 		return
 	}
-	for _, each := range s.sweeper.overdue(account, s.withoutJob(listed), time.Now()) {
-		if s.isLeftBehind(bounded, each.Job) {
+	for _, each := range s.sweeper.expired(account, s.withoutOpenJob(listed), time.Now()) {
+		if s.isAbandoned(bounded, each.Job) {
 			_, err := s.quota.Apply(bounded, account, limit, []quota.Operation{{Kind: quota.KindRelease, Job: each.Job, Holder: each.Holder}})
 			s.log.Info("reservation_swept", "job", each.Job, "account", account, "tokens", each.Tokens, "holder", each.Holder, "row_version", each.Version, "error", err)
 		}
 	}
 }
 
-// withoutJob returns the reservations of which no open job is known.
-func (s *Service) withoutJob(listed []quota.Reservation) []quota.Reservation {
+// withoutOpenJob returns the reservations of which no open job is known.
+func (s *Service) withoutOpenJob(listed []quota.Reservation) []quota.Reservation {
 	found := []quota.Reservation{}
 	for _, each := range listed {
 		if !s.isOpen(each.Job) {
@@ -111,8 +111,8 @@
 }
 
 // overdue returns those that have stood unchanged for too long.
-func (w *sweeper) overdue(name string, without []quota.Reservation, now time.Time) []quota.Reservation {
-	before := w.seen[name]
+func (w *sweeper) expired(name string, without []quota.Reservation, now time.Time) []quota.Reservation {
+	before := w.firstSeen[name]
 	seen := map[table.Version]time.Time{}
 	due := []quota.Reservation{}
 	for _, each := range without {
@@ -125,14 +125,14 @@
 			due = append(due, each)
 		}
 	}
-	w.seen[name] = seen
+	w.firstSeen[name] = seen
 	return due
 }
 
-// isLeftBehind reports whether a job is over, or was never accepted and never
+// isAbandoned reports whether a job is over, or was never accepted and never
 // will be by a try that is under way. The claim is read after the acceptance: a
 // job that exists and has no claim is over.
-func (s *Service) isLeftBehind(ctx context.Context, id string) bool {
+func (s *Service) isAbandoned(ctx context.Context, id string) bool {
 	_, err := s.acceptance(ctx, id)
 	if failure.Is(err, failure.KindNotFound) {
 		return s.void(ctx, id, voiding{By: s.self.Name}) == nil
@@ -140,6 +140,6 @@
 	if err != nil {
 		return false
 	}
-	held, err := s.storedClaim(ctx, id)
-	return err == nil && held.version == 0
+	stored, err := s.storedClaim(ctx, id)
+	return err == nil && stored.version == 0
 }
--- a/internal/job/takeover.go
+++ b/internal/job/takeover.go
@@ -10,54 +10,54 @@
 
 const (
 	superviseInterval = 200 * time.Millisecond
-	// takeoversAtOnce bounds the jobs that a daemon reads at the same time.
-	takeoversAtOnce = 4
-	// takeoverTries is how often a daemon tries to read a job that it has
+	// maxTakeovers bounds the jobs that a daemon reads at the same time.
+	maxTakeovers = 4
+	// takeoverAttempts is how often a daemon tries to read a job that it has
 	// claimed before it leaves the job to others, for abstainTime: its link may
 	// be too slow for the job.
-	takeoverTries = 2
-	abstainTime   = 10 * time.Second
+	takeoverAttempts = 2
+	abstainTime      = 10 * time.Second
 )
 
 // takeovers are the jobs that this daemon takes over. Service.mutex guards it.
 type takeovers struct {
-	underWay map[string]bool
+	active   map[string]bool
 	failures map[string]int
 	// abstained is until when a job is left to other daemons.
-	abstained map[string]time.Time
+	abstainedUntil map[string]time.Time
 }
 
 func newTakeovers() takeovers {
-	return takeovers{underWay: map[string]bool{}, failures: map[string]int{}, abstained: map[string]time.Time{}}
+	return takeovers{active: map[string]bool{}, failures: map[string]int{}, abstainedUntil: map[string]time.Time{}}
 }
 
 // mayBegin reports whether a job may be taken over now.
 func (t *takeovers) mayBegin(id string, now time.Time) bool {
-	return !t.underWay[id] && len(t.underWay) < takeoversAtOnce && !now.Before(t.abstained[id])
+	return !t.active[id] && len(t.active) < maxTakeovers && !now.Before(t.abstainedUntil[id])
 }
 
 // end notes how a takeover ended and reports whether the job should be left to
 // other daemons.
-func (t *takeovers) end(id string, hasFailed bool, now time.Time) bool {
-	delete(t.underWay, id)
+func (t *takeovers) finish(id string, hasFailed bool, now time.Time) bool {
+	delete(t.active, id)
 	if !hasFailed {
 		delete(t.failures, id)
 		return false
 	}
 	t.failures[id]++
-	if t.failures[id] < takeoverTries {
+	if t.failures[id] < takeoverAttempts {
 		return false
 	}
 	delete(t.failures, id)
-	t.abstained[id] = now.Add(abstainTime)
+	t.abstainedUntil[id] = now.Add(abstainTime)
 	return true
 }
 
 // forget drops what is over.
-func (t *takeovers) forget(now time.Time) {
-	for id, until := range t.abstained {
+func (t *takeovers) expire(now time.Time) {
+	for id, until := range t.abstainedUntil {
 		if !now.Before(until) {
-			delete(t.abstained, id)
+			delete(t.abstainedUntil, id)
 		}
 	}
 }
@@ -65,9 +65,9 @@
 // superviseClaims takes over jobs whose owners are gone.
 func (s *Service) superviseClaims(ctx context.Context) {
 	periodic.Run(ctx, superviseInterval, func() {
-		for id, held := range s.orphaned(time.Now()) {
+		for id, orphaned := range s.orphaned(time.Now()) {
 			if s.beginTakeover(id) {
-				go s.takeOver(ctx, id, held)
+				go s.takeOver(ctx, id, orphaned)
 			}
 		}
 	})
@@ -77,19 +77,19 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	s.takeovers.forget(now)
+	s.takeovers.expire(now)
 	if !s.takeovers.mayBegin(id, now) {
 		return false
 	}
-	s.takeovers.underWay[id] = true
+	s.takeovers.active[id] = true
 	return true
 }
 
 // takeOver claims a job and goes on with it.
-func (s *Service) takeOver(ctx context.Context, id string, held versionedClaim) {
-	claimed, err := s.claimOrphan(ctx, id, held)
+func (s *Service) takeOver(ctx context.Context, id string, orphaned versionedClaim) {
+	claimed, err := s.claimOrphan(ctx, id, orphaned)
 	if err != nil {
-		s.log.Info("job_takeover_failed", "job", id, "step", "claim", "owner", held.claim.Owner, "epoch", held.claim.Epoch, "error", err)
+		s.log.Info("job_takeover_failed", "job", id, "step", "claim", "owner", orphaned.claim.Owner, "epoch", orphaned.claim.Epoch, "error", err)
 		s.endTakeover(id, false)
 		return
 	}
@@ -101,28 +101,28 @@
 	}
 	s.log.Info("job_takeover_failed", "job", id, "step", step, "epoch", claimed.claim.Epoch, "error", err)
 	if s.endTakeover(id, true) {
-		s.giveBack(ctx, id, claimed)
+		s.releaseClaim(ctx, id, claimed)
 	}
 }
 
 func (s *Service) endTakeover(id string, hasFailed bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.takeovers.end(id, hasFailed, time.Now())
+	return s.takeovers.finish(id, hasFailed, time.Now())
 }
 
 // claimOrphan makes this daemon the owner, unless an earlier call whose answer
 // was lost did so.
-func (s *Service) claimOrphan(ctx context.Context, id string, held versionedClaim) (versionedClaim, error) {
-	if held.claim.Owner == s.self.Name && held.claim.Incarnation == s.self.Incarnation {
-		return held, nil
+func (s *Service) claimOrphan(ctx context.Context, id string, orphaned versionedClaim) (versionedClaim, error) {
+	if orphaned.claim.Owner == s.self.Name && orphaned.claim.Incarnation == s.self.Incarnation {
+		return orphaned, nil
 	}
-	next := s.newClaim(held.claim.Epoch+1, held.claim.Tenant)
-	version, err := s.replaceClaim(ctx, id, held.version, next)
+	next := s.newClaim(orphaned.claim.Epoch+1, orphaned.claim.Tenant)
+	version, err := s.replaceClaim(ctx, id, orphaned.version, next)
 	if err != nil {
 		return versionedClaim{}, err
 	}
-	s.log.Info("job_taken_over", "job", id, "owner_before", held.claim.Owner, "epoch", next.Epoch, "version", version)
+	s.log.Info("job_taken_over", "job", id, "owner_before", orphaned.claim.Owner, "epoch", next.Epoch, "version", version)
 	return versionedClaim{claim: next, version: version}, nil
 }
 
@@ -158,10 +158,10 @@
 	return loaded, earlier, "", nil
 }
 
-// giveBack lets another daemon take over a job that this one cannot read.
-func (s *Service) giveBack(ctx context.Context, id string, held versionedClaim) {
-	version, err := s.replaceClaim(ctx, id, held.version, claim{Epoch: held.claim.Epoch, Tenant: held.claim.Tenant})
-	s.log.Info("job_given_back", "job", id, "epoch", held.claim.Epoch, "version", version, "error", err)
+// releaseClaim lets another daemon take over a job that this one cannot read.
+func (s *Service) releaseClaim(ctx context.Context, id string, claimed versionedClaim) {
+	version, err := s.replaceClaim(ctx, id, claimed.version, claim{Epoch: claimed.claim.Epoch, Tenant: claimed.claim.Tenant})
+	s.log.Info("job_given_back", "job", id, "epoch", claimed.claim.Epoch, "version", version, "error", err)
 }
 
 // allResults reads everything that is listed of a job.
--- a/internal/job/tenant.go
+++ b/internal/job/tenant.go
@@ -66,7 +66,7 @@
 
 // Error implements error.
 func (e *unsureError) Error() string {
-	return "the read may be old: claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
+	return "the read may be old: claims_age_ms=" + strconv.FormatInt(ageMillis(e.claimsAge), 10)
 }
 
 // mayAccess reports whether a caller may deal with the job of an owner. A job
--- a/internal/job/yielding_test.go
+++ b/internal/job/yielding_test.go
@@ -16,14 +16,14 @@
 
 // ownerAt is one owner of items at a backend whose others it sees as they were.
 type ownerAt struct {
-	yielder *yielder
+	yielder *preemptor
 	own     int
 }
 
 func ownersAt(count int) []*ownerAt {
 	owners := []*ownerAt{}
 	for index := range uint64(count) {
-		owners = append(owners, &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(7, index))), own: 1})
+		owners = append(owners, &ownerAt{yielder: newPreemptor(rand.New(rand.NewPCG(7, index))), own: 1})
 	}
 	return owners
 }
@@ -46,7 +46,7 @@
 		for look := range looks {
 			for index, owner := range owners {
 				owner.yielder.random = rand.New(rand.NewPCG(uint64(round), uint64(look*slots+index)))
-				taken += owner.look(slots, online, slots-1, start.Add(time.Duration(look)*crowdedPause))
+				taken += owner.look(slots, online, slots-1, start.Add(time.Duration(look)*overloadPause))
 			}
 		}
 	}
@@ -57,16 +57,16 @@
 // was answered is answered without waiting for the window.
 func TestOwnersAnswerFurtherRequestsAtOnce(t *testing.T) {
 	now := time.Now()
-	owner := &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(8, 8))), own: 4}
+	owner := &ownerAt{yielder: newPreemptor(rand.New(rand.NewPCG(8, 8))), own: 4}
 	require.Equal(t, 1, owner.look(4, 1, 0, now))
-	require.Equal(t, 1, owner.look(4, 2, 0, now.Add(crowdedPause)))
-	require.Zero(t, owner.look(4, 2, 0, now.Add(2*crowdedPause)))
+	require.Equal(t, 1, owner.look(4, 2, 0, now.Add(overloadPause)))
+	require.Zero(t, owner.look(4, 2, 0, now.Add(2*overloadPause)))
 }
 
 // TestExcessThatStandsIsAnsweredAgain once all owners have heard of each other.
 func TestExcessThatStandsIsAnsweredAgain(t *testing.T) {
 	now := time.Now()
-	owner := &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(9, 9))), own: 1}
+	owner := &ownerAt{yielder: newPreemptor(rand.New(rand.NewPCG(9, 9))), own: 1}
 	taken := 0
 	for look := range 400 {
 		taken += owner.look(7, 1, 6, now.Add(time.Duration(look)*window))
@@ -78,15 +78,15 @@
 // item away, one that stays does; where there is no room none waits.
 func TestExcessMustStandWhereThereIsRoom(t *testing.T) {
 	now, crowded := time.Now(), routing.Candidate{ID: "b", Slots: 4, Online: 2, Batch: 3}
-	looking := newYielder(rand.New(rand.NewPCG(13, 13)))
-	require.True(t, looking.stands(crowded, false, now))
-	require.Equal(t, yieldInterval, looking.nextLook())
-	require.False(t, looking.stands(crowded, true, now))
-	require.Equal(t, standingExcess, looking.nextLook())
-	require.False(t, looking.stands(crowded, true, now.Add(standingExcess/2)))
-	require.True(t, looking.stands(crowded, true, now.Add(standingExcess)))
+	looking := newPreemptor(rand.New(rand.NewPCG(13, 13)))
+	require.True(t, looking.isExcessDue(crowded, false, now))
+	require.Equal(t, preemptInterval, looking.nextCheck())
+	require.False(t, looking.isExcessDue(crowded, true, now))
+	require.Equal(t, excessDelay, looking.nextCheck())
+	require.False(t, looking.isExcessDue(crowded, true, now.Add(excessDelay/2)))
+	require.True(t, looking.isExcessDue(crowded, true, now.Add(excessDelay)))
 	crowded.Online = 1
-	require.True(t, looking.stands(crowded, true, now.Add(standingExcess)), "it is not crowded any more")
+	require.True(t, looking.isExcessDue(crowded, true, now.Add(excessDelay)), "it is not crowded any more")
 	crowded.Online = 2
-	require.False(t, looking.stands(crowded, true, now.Add(2*standingExcess)), "another one asks")
+	require.False(t, looking.isExcessDue(crowded, true, now.Add(2*excessDelay)), "another one asks")
 }
--- a/test/mutants.d/batchroom.sh
+++ b/test/mutants.d/batchroom.sh
@@ -14,11 +14,11 @@
 	'load.Online+load.Batch+FreeSlotsNeeded(load)-load.Slots' 'load.Online+load.Batch' internal/batchcapacity TestItemsStayWhereRequestsFindPlaces
 mutant batch_excess_rise internal/batchcapacity/excess.go \
 	'load.Online += sight.Demand.Rise(sight.Age)' '' internal/batchcapacity TestExcessIsWhatOnlineWorkHasRisenTo
-mutant batch_gives_once internal/job/rooms.go \
-	'known.given < known.owed ||' 'known.owed > 0 ||' internal/job TestOwnersGiveTheirPartOfAnExcessOnce
-mutant batch_shortage_not_seen internal/job/rooms.go \
-	' || known.declined >= mostDeclined' '' internal/job TestItemsGiveWayToAShortageThatIsNotSeen
-mutant batch_items_stay internal/job/rooms.go \
-	'if known.given < known.owed' 'if true || known.given < known.owed' internal/job 'TestItemsStepAsideOnce|TestItemsGiveWayToAShortageThatIsNotSeen'
-mutant batch_excess_must_stand internal/job/yielding.go \
-	'if !isRoomy || crowding(candidate) == 0 {' 'if true {' internal/job TestExcessMustStandWhereThereIsRoom
+mutant batch_gives_once internal/job/capacitytracker.go \
+	'known.preempted < known.toPreempt ||' 'known.toPreempt > 0 ||' internal/job TestOwnersGiveTheirPartOfAnExcessOnce
+mutant batch_shortage_not_seen internal/job/capacitytracker.go \
+	' || known.declined >= maxDeclined' '' internal/job TestItemsGiveWayToAShortageThatIsNotSeen
+mutant batch_items_stay internal/job/capacitytracker.go \
+	'if known.preempted < known.toPreempt' 'if true || known.preempted < known.toPreempt' internal/job 'TestItemsStepAsideOnce|TestItemsGiveWayToAShortageThatIsNotSeen'
+mutant batch_excess_must_stand internal/job/preemption.go \
+	'if !hasFreeSlots || batchExcess(candidate) == 0 {' 'if true {' internal/job TestExcessMustStandWhereThereIsRoom
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -7,10 +7,10 @@
 	'if !added.isReservation() {' 'if true {' internal/quota TestReservationsGoBeforeWhatIsRepeated
 mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
 	'r.bytes+taken > r.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsHoldLittle
-mutant held_memory_not_given_back internal/job/held.go \
-	'defer leave()' '_ = leave' internal/job TestHeldSubmissionEndsWithItsCaller
+mutant held_memory_not_given_back internal/job/buffering.go \
+	'defer remove()' '_ = remove' internal/job TestHeldSubmissionEndsWithItsCaller
 mutant not_held internal/job/accept.go \
-	'wasHeld, err := s.holdWhileAway(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestJobsOfAnOutageAreAcceptedBehindIt
+	'wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestJobsOfAnOutageAreAcceptedBehindIt
 mutant left_whatever_the_route internal/serving/silence.go \
 	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestWhatMayRunOnceIsNeverLeft
 mutant silence_without_budget internal/serving/silence.go \
@@ -27,5 +27,5 @@
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
 	'	if wasUnderWay {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
-mutant holds_outlive_their_daemon internal/job/held.go \
+mutant holds_outlive_their_daemon internal/job/buffering.go \
 	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestHeldSubmissionsEndWithTheirDaemon
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -154,8 +154,8 @@
 	'return total.without(r.members[name].work)' 'return total' internal/exchange TestRelayTellsEachDaemonTheOthersWork
 mutant no_draw internal/routing/cost.go \
 	'return *draw(model.preferred(near), random), true' 'return *near[0].candidate, true' internal/routing TestChoicesFromOnePictureSpread
-mutant no_quota_window internal/job/pacing.go \
-	'if now.Sub(p.since) < window {' 'if false {' internal/job TestOwnersDoNotPlaceTwiceIntoTheSameRoom
+mutant no_quota_window internal/job/placement.go \
+	'if now.Sub(p.windowStart) < window {' 'if false {' internal/job TestOwnersDoNotPlaceTwiceIntoTheSameRoom
 mutant no_failure_count internal/job/progress.go \
 	'p.failures, p.savedFailures = from.Failures, from.Failures' '' internal/job TestFailuresAreCountedOverOwners
 mutant no_settling internal/job/dispatch.go \
@@ -170,8 +170,8 @@
 	'operation.Kind == KindSettle && operation.Epoch < r.Epoch' 'false' internal/quota TestSettlingUnderALowerEpochChangesNothing
 mutant no_newest_limit internal/quota/plan.go \
 	'if limit.Config >= t.Config {' 'if true {' internal/quota TestNewerLimitHoldsForDaemonsThatDoNotKnowIt
-mutant release_of_earlier_tries internal/job/waiting.go \
-	'if !held.isNew {' 'if !held.isBounded() {' internal/job TestRefusedTryKeepsTheReservationOfAnUnsettledOne
+mutant release_of_earlier_tries internal/job/accounts.go \
+	'if !reserved.isNew {' 'if !reserved.isBounded() {' internal/job TestRefusedTryKeepsTheReservationOfAnUnsettledOne
 mutant no_void_condition internal/job/accept.go \
 	', {Table: tableVoid, Key: submitted.ID, Version: held.voided}' '' internal/job 'TestReservationOfADeadDaemonIsSwept|TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun'
 mutant resent_counts_twice internal/quota/plan.go \
@@ -183,7 +183,7 @@
 	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isCrowded && known.batch > 0 {' 'if false {' internal/backend TestOwnerHearsAtOnceOfWaitingOnlineRequests
-mutant items_queue internal/job/pacing.go \
+mutant items_queue internal/job/placement.go \
 	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsEnterNoFullService
 mutant no_pace internal/table/follower.go \
 	'return errors.WithStack(f.Pace.Wait(ctx))' 'return nil' internal/table TestPacedFollowerAsksLessOftenAndMissesNothing
@@ -200,15 +200,15 @@
 mutant no_preemption internal/serving/await.go \
 	'		e.preemptAt(chosen)' '' internal/serving TestWaitingRequestPreemptsItems
 mutant no_pause_after_giving_way internal/job/dispatch.go \
-	'	s.placer.pause(now.Add(givenWayPause))' '' internal/job 'TestOwnerThatGaveWaySendsNothingForAWhile|TestPauseAfterGivingWayInVirtualTime'
+	'	s.placer.pause(now.Add(preemptionPause))' '' internal/job 'TestOwnerThatGaveWaySendsNothingForAWhile|TestPauseAfterGivingWayInVirtualTime'
 mutant queues_without_waiting internal/serving/exchange.go \
 	'if e.mustAwaitPlace() {' 'if false {' internal/serving TestRequestWithoutAPlaceQueuesInTheEnd
 mutant late_drop internal/job/owned.go \
 	'if s.owned[o.job.ID] == o {' 'if true {' internal/job TestLateGoroutineDropsNoNewerOwnership
 mutant no_give_back internal/job/takeover.go \
-	's.giveBack(ctx, id, claimed)' '' internal/job TestJobThatADaemonCannotReadGoesToAnother
-mutant excess_answered_at_every_look internal/job/yielding.go \
-	'answered.left = min(answered.left, excess)' 'answered.left = 0' internal/job TestOwnersGiveWayOnceForOneExcess
+	's.releaseClaim(ctx, id, claimed)' '' internal/job TestJobThatADaemonCannotReadGoesToAnother
+mutant excess_answered_at_every_look internal/job/preemption.go \
+	'handled.remaining = min(handled.remaining, excess)' 'handled.remaining = 0' internal/job TestOwnersGiveWayOnceForOneExcess
 mutant key_passed_on platform/runner.go \
 	'headerTenant, headerKey:' 'headerTenant:' platform TestNoKeyLeavesWithAnAttempt
 mutant callers_tenant_believed platform/runner.go \
@@ -259,7 +259,7 @@
 	'		if isUnsettled {' '		if false {' internal/job TestUnsettledEndOfADaemonThatStopsIsNeverPromisedNotDone
 mutant first_claims_not_awaited internal/job/firstclaims.go \
 	'if isRead || s.claimsAge()' 'if true || isRead || s.claimsAge()' internal/job TestCallMeetsADaemonThatHasJustStarted
-mutant return_not_asked_for internal/job/held.go \
+mutant return_not_asked_for internal/job/buffering.go \
 	'	case s.availability.Recheck(ctx):' '	case false:' internal/job TestLargeSubmissionBehindAnUnnoticedReturn
 mutant resent_job_refused_blindly internal/job/accept.go \
 	'			refused = outcomeUnknown(err)' '' internal/job TestResentJobIsNotRefusedUnlessItIsKnownToBeNew
