--- a/internal/job/accounts.go
+++ b/internal/job/accounts.go
@@ -13,26 +13,25 @@
 )
 
 const (
-	// settleInterval is the pause between two looks at what ended, and
-	// lazySettleInterval how long an account that is far from its limit may wait to
-	// hear of it.
+	// settleInterval is the time between two checks for tokens to settle. An account that
+	// isn't near its limit is updated at most every lazySettleInterval.
 	settleInterval     = 200 * time.Millisecond
 	lazySettleInterval = 5 * time.Second
 	settleTimeout      = time.Second
-	// maxSettleOperations bounds what one call settles.
+	// maxSettleOperations limits the operations of one call.
 	maxSettleOperations = 40
-	// unlimitedPause is the pause between two looks whether a route has a bound.
+	// unlimitedPause is the time between two checks whether any route has a token limit.
 	unlimitedPause = time.Second
 )
 
-// account is where a job's waiting tokens count.
+// account is where the waiting tokens of a job are counted, with its limit.
 type account struct {
 	name  string
 	limit quota.Limit
 }
 
-// accountOf returns the account of a job's route as now configured. It reports
-// false when the route is not known or has no bound.
+// accountOf returns the account of a job by the current configuration. It returns false if
+// the route is unknown or has no token limit.
 func (s *Service) accountOf(job *Job) (account, bool) {
 	current := s.holder.Current()
 	if s.quota == nil || current == nil || len(job.Items) == 0 {
@@ -45,8 +44,8 @@
 	return account{name: accountName(matched, job.Tenant), limit: quota.Limit{Tokens: matched.MaxQueuedTokens, Config: current.Version()}}, true
 }
 
-// accountName names the account of a tenant on a route. Without tenants all
-// jobs of a route share one.
+// accountName names the account of a tenant on a route. Without tenants all jobs of a route
+// share one.
 func accountName(matched *route.Route, tenant string) string {
 	if tenant == "" {
 		return matched.Name
@@ -54,8 +53,8 @@
 	return matched.Name + quota.TenantSeparator + tenant
 }
 
-// reservation is tokens that were set aside for a job before its acceptance.
-// The zero value stands for a job without a bound.
+// reservation is the tokens that are reserved for a job before its acceptance. The zero value
+// means that the job's route has no token limit.
 type reservation struct {
 	account account
 	job     string
@@ -75,7 +74,7 @@
 	return settlement{account: r.account, tokens: r.tokens, at: time.Now()}
 }
 
-// reserve sets a job's tokens aside.
+// reserve reserves a job's tokens.
 func (s *Service) reserve(ctx context.Context, submitted *Job) (reservation, error) {
 	found, isBounded := s.accountOf(submitted)
 	if !isBounded {
@@ -86,8 +85,8 @@
 	return reserved, err
 }
 
-// renewReservation sets the tokens aside under a new holder, so that a sweeper which
-// frees the earlier reservation spares this one.
+// renewReservation reserves the tokens under a new holder. A sweeper that releases the earlier
+// reservation then doesn't release this one.
 func (s *Service) renewReservation(ctx context.Context, submitted *Job, reserved *reservation) error {
 	if !reserved.isBounded() {
 		return nil
@@ -98,8 +97,8 @@
 	return err
 }
 
-// newHolder names one call, so that a call which failed takes back nothing that
-// a later one relies on.
+// newHolder returns a unique name for one call, so that a failed call doesn't release the
+// reservation of a later one.
 func (s *Service) newHolder() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,9 +106,9 @@
 	return fmt.Sprintf("%s/%d/%d", s.self.Name, s.self.Incarnation, s.submission)
 }
 
-// release takes back a reservation that this call made, as well as the store
-// allows now; the rest is swept later. One that stood before may belong to a
-// try whose outcome is unknown.
+// release releases a reservation that this call made, in the background. If that fails, the
+// sweeper releases it later. A reservation that existed before is kept: it may belong to an
+// earlier submission whose outcome is unknown.
 func (s *Service) release(reserved reservation) {
 	if !reserved.isNew {
 		return
@@ -122,20 +121,20 @@
 	}()
 }
 
-// settlement is what a job's account was told: so many tokens at a time.
+// settlement is the last update of a job's tokens that its account received.
 type settlement struct {
 	account account
 	tokens  int64
 	at      time.Time
 }
 
-// endedJob is a job that is over and whose reservation stands yet.
+// endedJob is a job that is over and whose reservation still has to be settled.
 type endedJob struct {
 	account account
 	epoch   int64
 }
 
-// settleEnded has the account of a job that is over told.
+// settleEnded queues the last settlement of a job that is over.
 func (s *Service) settleEnded(ended *owned) {
 	ended.mutex.Lock()
 	target, epoch := ended.settled.account, ended.claim.claim.Epoch
@@ -152,7 +151,7 @@
 	s.over[ended.job.ID] = endedJob{account: target, epoch: epoch}
 }
 
-// settleAll tells accounts what ended until the context ends.
+// settleAll sends settlements to accounts until the context ends.
 func (s *Service) settleAll(ctx context.Context) {
 	periodic.Run(ctx, settleInterval, func() {
 		if !s.hasTokenLimit() {
@@ -165,7 +164,7 @@
 	})
 }
 
-// hasTokenLimit reports whether the waiting tokens of a route are bounded.
+// hasTokenLimit reports whether any route limits its waiting tokens.
 func (s *Service) hasTokenLimit() bool {
 	current := s.holder.Current()
 	if current == nil {
@@ -174,15 +173,15 @@
 	return slices.ContainsFunc(current.JobRoutes(), func(each *route.Route) bool { return each.MaxQueuedTokens > 0 })
 }
 
-// dueSettlement is one operation with the job that it settles; the job is nil
-// when it is over.
+// dueSettlement is one operation with the job that it settles. owned is nil if the job is
+// over.
 type dueSettlement struct {
 	limit     quota.Limit
 	operation quota.Operation
 	owned     *owned
 }
 
-// dueSettlements returns what each account should be told now.
+// dueSettlements returns the operations to send now, by account.
 func (s *Service) dueSettlements(now time.Time) map[string][]dueSettlement {
 	due := map[string][]dueSettlement{}
 	s.mutex.Lock()
@@ -206,7 +205,7 @@
 	return due
 }
 
-// waitingTokens is the size of the items that no backend has finished.
+// waitingTokens returns the size of the unfinished items.
 func (o *owned) waitingTokens() int64 {
 	total := int64(0)
 	for _, each := range o.unfinished() {
@@ -215,8 +214,8 @@
 	return total
 }
 
-// isSettlementDue reports whether the job's account should be told what waits. A
-// job that was taken over is counted already, with more than waits at worst.
+// isSettlementDue reports whether the job's waiting tokens should be sent to its account now.
+// A job that was taken over is counted there already, with at least its waiting tokens.
 func (o *owned) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -228,7 +227,7 @@
 	return !isCounted || isNearLimit || now.Sub(o.settled.at) >= lazySettleInterval
 }
 
-// settle tells one account.
+// settle sends the due operations of one account.
 func (s *Service) settle(ctx context.Context, name string, due []dueSettlement) {
 	for len(due) > 0 {
 		count := min(maxSettleOperations, len(due))
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -16,22 +16,21 @@
 const (
 	refusedPause = 100 * time.Millisecond
 	failedPause  = 200 * time.Millisecond
-	// quarantinedPause is how long an item rests before it is looked at again while
-	// it is quarantined: a quarantine may be lifted at any time.
+	// quarantinedPause is the time between two checks of a quarantined item: a quarantine may
+	// be lifted at any time.
 	quarantinedPause = time.Second
-	// itemTime is how long a backend may work on one item.
+	// itemTimeout is how long a backend may work on one item.
 	itemTimeout = 60 * time.Second
-	// firstEventTimeout and eventTimeout bound the silence of a backend before an
-	// item's first event and between events.
+	// firstEventTimeout and eventTimeout limit the time until an item's first event and
+	// between events.
 	firstEventTimeout = 6 * time.Second
 	eventTimeout      = 1500 * time.Millisecond
-	// itemMethod is the method of every item's request.
-	itemMethod = "POST"
-	// invalidStatus tells that an item can never be done.
+	itemMethod        = "POST"
+	// invalidStatus is a backend's answer to an item that can never succeed.
 	invalidStatus = 422
 )
 
-// runItem makes one attempt at an item, if it is permitted once the connection is there.
+// runItem makes one attempt at an item. permit is called once the connection is established.
 func (s *Service) runItem(ctx context.Context, running *work, lease *backend.Lease, matched *route.Route, service string, permit func() error) {
 	defer s.nudge()
 	defer lease.Release()
@@ -60,16 +59,13 @@
 	}
 }
 
-// reserveAndSend sends an item to a backend that has just answered a question for a place.
+// reserveAndSend reserves a slot for an item at the backend, and sends the item there.
 //
-// A backend that stands still, as a paused process does, is connected to and written to
-// all the same: what lies in its sockets is read when it goes on, seconds later, however
-// its sender has closed the connection meanwhile. Of an ended job, 12 of 12 items reached
-// backends that way more than three seconds after the end. One that has answered within
-// the last milliseconds reads what it is sent. The question also finds a backend full
-// before the item waits there, and one that is dead 60 ms later in place of six seconds.
-// Backends that set no places aside are not asked; an item that names no size asks for
-// one token.
+// The reservation shows that the backend process reads its connections. A paused process
+// still accepts connections and buffers what is written to them. When it resumes, it would
+// run items of jobs that were cancelled meanwhile. The reservation also detects a full or dead
+// backend before the item is sent. Backends without reservations are sent the item at
+// once. An item without a size reserves one token.
 func (s *Service) reserveAndSend(ctx context.Context, attempt serving.Attempt, tokens int) (serving.Answer, error) {
 	if err := serving.Reserve(ctx, s.sender, s.holder.Current(), &attempt, max(tokens, 1)); err != nil {
 		return nil, err
@@ -77,15 +73,15 @@
 	return s.sender.Send(ctx, attempt)
 }
 
-// invalidItemError tells that an item can never be done.
+// invalidItemError reports that an item can never succeed.
 type invalidItemError struct {
 	status int
 }
 
 // Error implements error.
-func (e *invalidItemError) Error() string { return "the item can never be done" }
+func (e *invalidItemError) Error() string { return "item rejected by the backend as invalid" }
 
-// readItem gathers the text of an item.
+// readItem reads the answer to an item and adds its events to the item's progress.
 func (s *Service) readItem(running *work, answer serving.Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
 	head := answer.Head()
 	if !head.Successful() || !head.Events {
@@ -117,7 +113,7 @@
 	}
 }
 
-// recordItemTime learns from an item that ended how long items run.
+// recordItemTime adds the run time of a completed item to the estimate.
 func (s *Service) recordItemTime(ended *work) {
 	ran := ended.owner.ranFor(ended, time.Now())
 	s.mutex.Lock()
@@ -125,7 +121,7 @@
 	s.clock.add(ran)
 }
 
-// handleFailure decides what becomes of an item after a failed attempt.
+// handleFailure abandons an item or queues it again after a failed attempt.
 func (s *Service) handleFailure(ctx context.Context, running *work, instance backend.Instance, matched *route.Route, err error) {
 	owner := running.owner
 	if owner.ctx.Err() != nil {
@@ -148,13 +144,14 @@
 	s.recordFailure(running, instance, matched, err)
 }
 
-// recordFailure counts a failed attempt against the backend and the item.
+// recordFailure counts a failed attempt against the backend or the item. The item is abandoned
+// after the route's maximum of attempts, and queued again before.
 func (s *Service) recordFailure(running *work, instance backend.Instance, matched *route.Route, err error) {
 	owner := running.owner
 	failed := &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	_ = errors.As(err, &failed)
 	if failed.Reason == serving.ReasonError {
-		// The item may be at fault; other work tells whether the backend is.
+		// The item may be the cause, so the failure isn't counted against the backend.
 		running.progress.addFailure()
 	} else {
 		serving.RecordFailure(s.backends, instance.Incarnation(), failed.Reason, time.Now())
--- a/internal/job/batchcapacity.go
+++ b/internal/job/batchcapacity.go
@@ -9,8 +9,8 @@
 	"topazpulley/internal/periodic"
 )
 
-// observeDemand samples the load of the services that run items until the context ends.
-// It goes on while no job is owned: the rhythm of demand takes two periods to show.
+// observeDemand samples the load of the services that run items until the context ends,
+// also while no job is owned: a period shows only after two of its turns.
 func (s *Service) observeDemand(ctx context.Context) {
 	if s.rooms.policy == batchcapacity.PolicyFree {
 		return
@@ -26,8 +26,8 @@
 	})
 }
 
-// mustPreempt reports whether an item at a backend gives way to an online request that
-// found no place.
+// mustPreempt reports whether an item at a backend is preempted for an online request that
+// found no slot there.
 func (s *Service) mustPreempt(id string, now time.Time) bool {
 	instance, found := s.backends.Get(id)
 	if !found {
@@ -45,9 +45,8 @@
 	return false
 }
 
-// capacityPolicy is the policy of the room at a service. Where backends set no places aside,
-// requests do not go on asking but wait at one backend, and items take and leave what
-// slots they can.
+// capacityPolicy returns the policy for batch items at a service. It is PolicyFree where
+// backends make no reservations: requests wait at one backend there and don't try others.
 func (s *Service) capacityPolicy(service string) batchcapacity.Policy {
 	current := s.holder.Current()
 	if current == nil {
@@ -60,8 +59,8 @@
 	return s.rooms.policy
 }
 
-// hasFreeSlots reports whether requests that ask find places at a service, so that work beyond
-// the slots of one backend is most likely such that only asks there.
+// hasFreeSlots reports whether online requests find slots at a service. Work beyond the slots
+// of one of its backends is then most likely requests that try several backends.
 func (s *Service) hasFreeSlots(service string, now time.Time) bool {
 	if s.capacityPolicy(service) == batchcapacity.PolicyFree {
 		return false
@@ -69,7 +68,7 @@
 	return s.rooms.hasFreeSlots(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
 }
 
-// itemServices lists the services to which items go.
+// itemServices lists the services that run items.
 func (s *Service) itemServices() []string {
 	current := s.holder.Current()
 	if current == nil {
@@ -88,7 +87,8 @@
 	return services
 }
 
-// roomAt decides how many items all owners together send to a service in the next window.
+// batchCapacity returns how many items all owners together may send to a service in the next
+// window.
 func (s *Service) batchCapacity(service string, now time.Time) batchcapacity.Capacity {
 	load := s.backends.ServiceLoad(service, now)
 	itemTime, policy := s.itemTime(), s.capacityPolicy(service)
@@ -104,12 +104,12 @@
 	return capacity
 }
 
-// unbounded stands for room that only the slots of single backends bound.
+// unbounded is a capacity that only the slots of each backend limit.
 const unbounded = math.MaxInt32
 
-// dropLooseBounds leaves a bound on the room of a service only where it is below the free
-// slots. Those are shared among owners by backend already; to share the sum as well draws
-// lots twice, by which an owner of one item beside a hundred sent a quarter of what it may.
+// dropLooseBounds removes bounds on the capacity of a service that aren't below its free
+// slots. The quotas by backend divide the free slots among owners already; dividing the sum
+// as well would round each owner's share twice.
 func dropLooseBounds(capacity batchcapacity.Capacity, policy batchcapacity.Policy, free int) batchcapacity.Capacity {
 	capacity.Urgent = unbounded
 	isBounded := policy == batchcapacity.PolicyReserve || policy == batchcapacity.PolicyPeriodic
@@ -119,7 +119,7 @@
 	return capacity
 }
 
-// capacityLabel names what bounds the items that wait.
+// capacityLabel returns the metric label for what limits the waiting items.
 func capacityLabel(capacity batchcapacity.Capacity, waiting int) string {
 	switch {
 	case waiting <= capacity.Deferrable:
@@ -130,14 +130,14 @@
 	return "reserve"
 }
 
-// itemTime is how long items run.
+// itemTime returns how long items are expected to run.
 func (s *Service) itemTime() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.clock.expected()
 }
 
-// mustRun reports whether an item cannot wait for a burst to pass.
+// mustRun reports whether an item can't wait until a burst of online requests has passed.
 func (s *Service) mustRun(item *work, service string, now time.Time) bool {
 	itemTime := s.itemTime()
 	share := s.placer.share(service)
--- a/internal/job/buffering.go
+++ b/internal/job/buffering.go
@@ -9,26 +9,26 @@
 	"topazpulley/internal/submissionbuffer"
 )
 
-// Availability tells whether the store answers.
+// Availability reports whether the store answers.
 type Availability interface {
-	// AwayFor returns for how long the store has not answered, and whether it is taken
-	// for away.
+	// AwayFor returns for how long the store has not answered, and whether it counts as
+	// unavailable.
 	AwayFor(now time.Time) (time.Duration, bool)
-	// AwaitReturn waits until the store answers; it reports false when the context ends
-	// first.
+	// AwaitReturn waits until the store answers. It returns false if the context ends first.
 	AwaitReturn(ctx context.Context) bool
-	// Recheck asks a store that was not called for a while whether it answers.
+	// Recheck calls the store if it wasn't called for some time, and reports whether it answers.
 	Recheck(ctx context.Context) bool
 }
 
-// How the holding of a submission ended, as labels of the metric.
+// Outcomes of buffering a submission, as metric labels.
 const (
 	bufferingReturned = "store_returned"
 	bufferingExpired  = "time_over"
 	bufferingRefused  = "no_room"
 )
 
-// unavailableError tells that a submission was not tried because the store is away.
+// unavailableError reports that a submission was not sent to the store because the store is
+// unavailable.
 type unavailableError struct {
 	unavailableFor time.Duration
 	bufferedFor    time.Duration
@@ -39,23 +39,22 @@
 	return fmt.Sprintf("store unavailable: away_ms=%d held_ms=%d", e.unavailableFor.Milliseconds(), e.bufferedFor.Milliseconds())
 }
 
-// bufferWhileUnavailable holds a submission until the store answers, and reports whether it was
-// held. A failure promises that nothing of it was sent to the store by this call since it
-// is held.
+// bufferWhileUnavailable buffers a submission until the store answers, and reports whether it
+// was buffered. Nothing of it is sent to the store meanwhile.
 func (s *Service) bufferWhileUnavailable(caller context.Context, submitted Job) (wasBuffered bool, err error) {
 	if !s.isStoreUnavailable() {
 		return false, nil
 	}
 	ctx, cancel := context.WithCancel(caller)
 	defer cancel()
-	// A daemon that stops must not keep callers longer than it may take to stop.
+	// A daemon that stops must not wait for buffered submissions.
 	defer context.AfterFunc(s.stopped, cancel)()
 	started := time.Now()
 	remove, isBuffered := s.held.Add(submitted.contentBytes())
 	switch {
 	case isBuffered:
 	case s.availability.Recheck(ctx):
-		// What is too large to be held must not be refused for an outage that is over.
+		// A submission that doesn't fit the buffer must not be refused after the store has returned.
 		return false, nil
 	default:
 		return false, s.endBuffering(submitted, started, bufferingRefused)
@@ -68,8 +67,8 @@
 	return true, s.endBuffering(submitted, started, bufferingExpired)
 }
 
-// endBuffering accounts for a submission that is held no more, and makes the failure of one
-// that was not held to the store's return.
+// endBuffering records the outcome of buffering, and returns the error for the caller unless
+// the store has returned.
 func (s *Service) endBuffering(submitted Job, started time.Time, outcome string) error {
 	now := time.Now()
 	unavailableFor, bufferedFor := s.unavailableFor(now), now.Sub(started)
@@ -82,7 +81,7 @@
 	return refused.WithRetryAfter(submissionbuffer.RetryAfter(unavailableFor, outcome == bufferingExpired))
 }
 
-// isStoreUnavailable reports whether submissions are held.
+// isStoreUnavailable reports whether submissions are buffered.
 func (s *Service) isStoreUnavailable() bool {
 	if s.availability == nil {
 		return false
@@ -96,20 +95,19 @@
 	return unavailableFor
 }
 
-// awaitStore waits until a store that is away answers; it reports false when the context
-// ends first.
+// awaitStore waits until the store answers. It returns false if the context ends first.
 func (s *Service) awaitStore(ctx context.Context) bool {
 	return s.availability == nil || s.availability.AwaitReturn(ctx)
 }
 
-// isBufferable reports whether a submission that failed may be held and tried again:
-// nothing of it can take effect any more, and its caller still waits.
+// isBufferable reports whether a failed submission may be buffered and sent again: it cannot
+// take effect any more, and its caller still waits.
 func isBufferable(ctx context.Context, err error) bool {
 	failed := failure.From(err)
 	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeEndedEarly
 }
 
-// contentBytes is the size of what the items hold.
+// contentBytes returns the size of all item bodies.
 func (j *Job) contentBytes() int {
 	total := 0
 	for index := range j.Items {
--- a/internal/job/capacitytracker.go
+++ b/internal/job/capacitytracker.go
@@ -9,16 +9,15 @@
 	"topazpulley/internal/batchcapacity"
 )
 
-// capacityLogInterval bounds the lines on the room of one service.
+// capacityLogInterval is the minimum time between two log lines on the capacity of a service.
 const capacityLogInterval = time.Second
 
-// maxDeclined is how many requests for the slot of an item an owner declines in the time
-// in which its sight changes. More are a shortage that is not seen yet: where none was
-// accepted beyond what was seen, 154 came in 0.4 s.
+// maxDeclined is how many preemptions an owner declines at a service in one window. More
+// requests indicate a shortage that the observed load doesn't show yet.
 const maxDeclined = 4
 
-// rooms decides how many items the fleet's services have room for. It remembers the
-// demand of each service, and what it gave of an excess.
+// capacityTracker decides how many items the services have capacity for. It records the
+// demand of each service and the preemptions in the current window.
 type capacityTracker struct {
 	policy batchcapacity.Policy
 	// mutex guards the fields below it.
@@ -27,17 +26,17 @@
 	random   *rand.Rand
 }
 
-// serviceCapacity is what is known of one service.
+// serviceCapacity is the state of one service.
 type serviceCapacity struct {
 	demand   batchcapacity.Demand
 	loggedAt time.Time
-	// given and declined count the items that gave way and those that stayed although a
-	// request asked for their slots, since a time; owed is how many this owner gives.
+	// windowStart is when the current window began. toPreempt is how many items this owner
+	// preempts in it; preempted and declined count the requests for which an item was
+	// preempted and those for which none was.
 	windowStart                    time.Time
 	toPreempt, preempted, declined int
 }
 
-// newCapacityTracker returns rooms of which nothing is known yet.
 func newCapacityTracker(policy batchcapacity.Policy, random *rand.Rand) *capacityTracker {
 	if policy == "" {
 		policy = batchcapacity.PolicyFree
@@ -45,7 +44,7 @@
 	return &capacityTracker{policy: policy, services: map[string]*serviceCapacity{}, random: random}
 }
 
-// of returns what is known of a service. mutex must be held.
+// service returns the state of a service. mutex must be held.
 func (r *capacityTracker) service(service string) *serviceCapacity {
 	known, exists := r.services[service]
 	if !exists {
@@ -55,7 +54,8 @@
 	return known
 }
 
-// note records the load of a service and returns its period before and now.
+// recordLoad records the load of a service, and returns the period of its demand before and
+// after.
 func (r *capacityTracker) recordLoad(service string, load backend.ServiceLoad, now time.Time) (before, after time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -65,7 +65,7 @@
 	return before, demand.Period()
 }
 
-// decide returns the room at a service.
+// decide returns the capacity of a service for batch items.
 func (r *capacityTracker) decide(policy batchcapacity.Policy, service string, load backend.ServiceLoad, itemTime, age time.Duration) batchcapacity.Capacity {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,9 +75,9 @@
 	})
 }
 
-// mustPreempt reports whether one of own items gives way to an online request that asks for
-// it. Of what all owners have too much each gives its part once in the time in which they
-// hear of each other.
+// mustPreempt reports whether one of the owner's items is preempted for an online request
+// that found no slot. Each owner preempts its share of the excess once per window; age is
+// the window, in which owners learn of each other's actions.
 func (r *capacityTracker) mustPreempt(service string, load backend.ServiceLoad, own int, age time.Duration, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -95,14 +95,15 @@
 	return false
 }
 
-// hasFreeSlots reports whether online requests find places at a service by asking.
+// hasFreeSlots reports whether the service has no excess of batch items.
 func (r *capacityTracker) hasFreeSlots(service string, load backend.ServiceLoad, age time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &r.service(service).demand, Age: age}) == 0
 }
 
-// mayLog reports whether the room of a service may be logged again.
+// mayLog reports whether the capacity of a service may be logged again, and counts it as
+// logged.
 func (r *capacityTracker) mayLog(service string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -16,24 +16,23 @@
 
 const (
 	dispatchInterval = 100 * time.Millisecond
-	// preemptInterval is longer than the time in which owners learn of each
-	// other's items, so that what was taken back is not taken back twice.
+	// preemptInterval is longer than the time in which owners learn of each other's items, so
+	// that the same excess isn't preempted twice.
 	preemptInterval = 200 * time.Millisecond
-	// overloadPause is the shortest time between two looks at crowded backends,
-	// in which others hear of what gave way.
+	// overloadPause is the minimum time between two checks of overloaded backends, in which
+	// other owners learn of preemptions.
 	overloadPause = 10 * time.Millisecond
-	// preemptionPause is how long an owner sends no items after it was asked to give
-	// way: online requests find no places, and free slots that it knows of are
-	// taken. Bursts bring such questions many times a second.
+	// preemptionPause is how long an owner sends no items after an online request needed the
+	// slot of one: slots that still count as free are most likely taken.
 	preemptionPause = 250 * time.Millisecond
-	// batchCostTolerance is the difference in cost, in milliseconds, that does not
-	// matter to batch items.
+	// batchCostTolerance is the difference in cost, in milliseconds, up to which backends
+	// count as equal for batch items.
 	batchCostTolerance = 40
 )
 
-// dispatchItems sends waiting items to backends with room, and takes items
-// back from backends that online requests need. A daemon that owns no job, as
-// most do in a large fleet, is woken by its next one only.
+// dispatchItems sends waiting items to backends with free slots, and preempts items at
+// backends whose slots online requests need. While the daemon owns no job, its tickers are
+// stopped.
 func (s *Service) dispatchItems(ctx context.Context) {
 	dispatch := time.NewTicker(dispatchInterval)
 	defer dispatch.Stop()
@@ -65,7 +64,7 @@
 	}
 }
 
-// resetPreempt sets when running items are looked at again, if any job is owned.
+// resetPreempt sets the time of the next check for preemption, if any job is owned.
 func (s *Service) resetPreempt(isIdle bool, preempt *time.Ticker) {
 	if !isIdle {
 		preempt.Reset(s.yielder.nextCheck())
@@ -84,15 +83,15 @@
 	preempt.Reset(preemptInterval)
 }
 
-// dispatchWaiting sends items, those due first first.
+// dispatchWaiting sends waiting items, in the order of the due times of their jobs.
 func (s *Service) dispatchWaiting() {
 	now := time.Now()
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
 	isStopping := s.stopping
 	s.mutex.Unlock()
-	// When all daemons start at once, owners that know nothing of each other
-	// would all place their items into the same room.
+	// Owners that start at the same time and have no reports of each other would send their
+	// items to the same free slots.
 	isSettled := s.backends.HasPeerReports() || !now.Before(s.settledAt)
 	if isStopping || !isSettled || now.Sub(s.dispatchedAt) < dispatchInterval/2 {
 		return
@@ -128,12 +127,12 @@
 	return count
 }
 
-// propagationWindow is the time in which owners do not know of each other's
-// latest decisions: that of the news, and half of it for delays on the way.
+// propagationWindow is the time in which owners may not know of each other's latest
+// decisions: the propagation time, and half of it as a margin for delays.
 func (s *Service) propagationWindow() time.Duration { return s.backends.Propagation() * 3 / 2 }
 
-// dispatch sends one item if a backend has room, or gives it up if its time
-// is over. It reports false when the item goes on waiting.
+// dispatch sends one item if a backend has a free slot, or abandons it if it is malformed or
+// its time is over. It returns false if the item remains waiting.
 func (s *Service) dispatch(waiting *work, now time.Time) bool {
 	owner := waiting.owner
 	if waiting.malformed != nil {
@@ -186,8 +185,8 @@
 	return true
 }
 
-// countSend counts an attempt at an item that is about to leave, and returns its number
-// and the epoch of the ownership under which it leaves.
+// countSend counts an attempt at an item that is about to be sent. It returns the attempt's
+// number and the epoch of the claim under which it is sent.
 func (o *owned) countSend(leaving *work) (number int, epoch int64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -195,8 +194,7 @@
 	return leaving.sends, o.claim.claim.Epoch
 }
 
-// postponeQuarantined has an item that is quarantined wait, and reports whether it
-// is. It takes no part of the room, and is given up when its time is over.
+// postponeQuarantined postpones an item that is quarantined, and reports whether it is.
 func (s *Service) postponeQuarantined(waiting *work, now time.Time) bool {
 	if s.quarantine == nil {
 		return false
@@ -218,14 +216,15 @@
 	return true
 }
 
-// maxShownAge stands in logs for all that is older, or was never told.
+// maxShownAge is logged for greater ages, and for the age of what was never reported.
 const maxShownAge = time.Hour
 
+// ageMillis returns an age in milliseconds, as it is logged.
 func ageMillis(age time.Duration) int64 { return min(age, maxShownAge).Milliseconds() }
 
-// routeOf returns the job route of an item and the service that the item goes to. The
-// configuration may have given the item's path to a route for online requests since the
-// job was accepted: items may run more than once, such requests may not.
+// routeOf returns the job route of an item and the service that the item goes to. It returns
+// false if the configuration now has a route for online requests at the item's path: items
+// may run more than once, online requests may not.
 func (s *Service) routeOf(host string, item Item) (*route.Route, string, bool) {
 	current := s.holder.Current()
 	if current == nil {
@@ -246,8 +245,7 @@
 	return s.clock.isUrgent(ran, waiting.owner.due.Sub(now))
 }
 
-// preemptExcess takes items back from backends that have no slot left for
-// online requests.
+// preemptExcess preempts items at backends where online requests wait for their slots.
 func (s *Service) preemptExcess() {
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
@@ -273,8 +271,8 @@
 	}
 }
 
-// preemptOne takes one item back from a backend for an online request that waits
-// there, and leaves its slot alone until all owners have heard of the request.
+// preemptOne preempts one item at a backend where an online request found no slot. No items are
+// sent there until all owners know of the request, and none anywhere for preemptionPause.
 func (s *Service) preemptOne(id string) {
 	now := time.Now()
 	s.mutex.Lock()
@@ -302,8 +300,8 @@
 	chosen.yield()
 }
 
-// sortForPreemption puts those items first that give way first: the ones that are
-// not urgent, and among them those due last.
+// sortForPreemption sorts items by the order in which they are preempted: those that aren't
+// urgent first, and among these the one that is due last.
 func sortForPreemption(items []runningItem) {
 	sort.Slice(items, func(a, b int) bool {
 		if items[a].isUrgent != items[b].isUrgent {
@@ -313,20 +311,21 @@
 	})
 }
 
-// runningItem is an item at a backend.
+// runningItem is an item that runs at a backend.
 type runningItem struct {
 	*work
 	isUrgent bool
 }
 
-// itemsToPreempt chooses which of the items at a backend are taken back.
+// itemsToPreempt chooses which of the items at a backend are preempted.
 func (s *Service) itemsToPreempt(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
 	count := s.yielder.share(candidate, now, window)
 	sortForPreemption(items)
 	return items[:min(count, len(items))]
 }
 
-// preemptableLoads returns the load of backends at which items run.
+// preemptableLoads returns the load of backends that run items, except for those whose excess
+// isn't due to be acted on.
 func (s *Service) preemptableLoads(running map[string][]runningItem) []routing.Candidate {
 	services := map[string]bool{}
 	for id := range running {
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -7,25 +7,21 @@
 	"topazpulley/internal/serving"
 )
 
-// claimsAgeLimit is for how long the claims, as this daemon knows them, may not have
-// been the present state while it still starts items. A job that was ended, or taken
-// over, longer ago is known here not to be its own. Behind it lie the way to the backend
-// and a turn of a slow machine: together they stay under the three seconds after
-// which an ended job's items may reach no backend (INVARIANTS). While nothing is wrong
-// the copy is no older than 1.5 s, directly and behind an upstream.
+// claimsAgeLimit is the age of this daemon's copy of the claims above which it starts no
+// items: a job may have been cancelled or taken over meanwhile. Items of a cancelled job
+// must not reach a backend more than three seconds after the cancellation; the limit leaves
+// a second of this for the way to the backend.
 const claimsAgeLimit = 2 * time.Second
 
-// permitError tells why an item may not be started now.
+// permitError says why an item may not be started now.
 type permitError struct {
-	reason refusalReason
-	// claimsAge is how old the claims were.
+	reason    refusalReason
 	claimsAge time.Duration
 }
 
-// refusalReason names a reason to start no items.
 type refusalReason string
 
-// The reasons.
+// Reasons to refuse a permit.
 const (
 	refusedOldClaims refusalReason = "old_claims"
 	refusedDropped   refusalReason = "job_dropped"
@@ -37,9 +33,9 @@
 	return "permit refused: " + string(e.reason) + ", claims_age_ms=" + strconv.FormatInt(ageMillis(e.claimsAge), 10)
 }
 
-// permit returns an error unless an item may reach a backend now. It is asked when
-// the connection is there, just before the first byte leaves: what was known when the
-// item was placed may be old by then.
+// permit returns an error unless the item may be sent to a backend now. It is called once
+// the connection is established, before the first byte is written: the state of the job
+// may have changed since the item was placed.
 func (s *Service) permit(item *work) error {
 	age := s.claimsAge()
 	owner := item.owner
@@ -57,14 +53,15 @@
 	return nil
 }
 
+// permitRefused returns the failure of an attempt that wasn't sent.
 func permitRefused(reason refusalReason, claimsAge time.Duration) error {
 	return &serving.AttemptError{
 		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &permitError{reason: reason, claimsAge: claimsAge},
 	}
 }
 
-// mayStartItems reports whether the claims are known well enough to start items. It
-// belongs to the dispatcher's goroutine, and logs when that changes.
+// mayStartItems reports whether the copy of the claims is recent enough to start items,
+// and logs each change of this. Only the dispatcher's goroutine calls it.
 func (s *Service) mayStartItems() bool {
 	age := s.claimsAge()
 	isOld := age > claimsAgeLimit
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -11,14 +11,14 @@
 const (
 	// urgentSlack is the time to spare below which an item is urgent.
 	urgentSlack = 5 * time.Second
-	// initialItemTime stands for the time that items take until some have ended,
-	// and itemTimeWeight is the weight of each further one in the mean.
+	// initialItemTime is the estimate of an item's run time until the first item has
+	// completed. itemTimeWeight is the weight of each further one in the moving average.
 	initialItemTime = 4 * time.Second
 	itemTimeWeight  = 0.05
 )
 
-// freeBatchSlots returns how many more batch items a backend takes: every slot
-// that no other work uses, because items give way at once.
+// freeBatchSlots returns how many more batch items a backend takes: all its free slots,
+// because items are preempted for online requests. It is 0 while requests wait there.
 func freeBatchSlots(candidate routing.Candidate) int {
 	if candidate.Ejected || candidate.Closed || candidate.Waiting > 0 {
 		return 0
@@ -26,9 +26,9 @@
 	return max(candidate.Slots-candidate.Online-candidate.Batch, 0)
 }
 
-// shareOf returns one owner's part of what all owners together should do.
-// Owners see each other's actions only a moment later, so each does its part,
-// and the rest by chance.
+// shareOf returns one owner's share of an action that all owners take together. Owners
+// learn of each other's actions with a delay, so each takes its share, and rounds the
+// fraction up or down at random.
 func shareOf(total, own, all int, random *rand.Rand) int {
 	if total <= 0 || all <= 0 {
 		return 0
@@ -40,47 +40,46 @@
 	return count
 }
 
-// placer shares out the room for batch items among the owners. It belongs to
-// the dispatcher's goroutine.
+// placer divides the capacity for batch items among the owners and chooses a backend for
+// each item. Only the dispatcher's goroutine uses it.
 type placer struct {
 	random *rand.Rand
 	// zone is the daemon's own.
 	zone string
-	// own are the items that wait at this owner, and all those of all owners.
+	// ownWaiting counts this owner's waiting items, allWaiting those of all owners.
 	ownWaiting, allWaiting int
-	// since is the beginning of the window for which quotas hold.
+	// windowStart is when the current window began. Quotas and shares apply to one window.
 	windowStart time.Time
-	// quotas are how many more items each backend gets from this owner in the
-	// window.
+	// quotas are how many more items this owner may send to each backend in the window.
 	quotas map[string]int
-	// roomAt decides how many items all owners together send to a service in a
-	// window, and shares are this owner's part of it.
+	// capacityAt returns how many items all owners together may send to a service in a
+	// window. shares are this owner's part of it, by service.
 	capacityAt func(service string, now time.Time) batchcapacity.Capacity
 	shares     map[string]*serviceShare
-	// full are the services that had no room in this pass.
+	// fullServices are the services without a free slot in this pass.
 	fullServices map[string]bool
-	// avoided is until when a backend gets nothing, because an item gave way
-	// there to an online request.
+	// avoidedUntil is until when no items are sent to a backend, because an item was
+	// preempted there.
 	avoidedUntil map[string]time.Time
-	// pausedUntil is until when nothing is placed anywhere.
+	// pausedUntil is until when no items are sent to any backend.
 	pausedUntil time.Time
 	// now is the time of the pass.
 	now time.Time
 }
 
-// serviceShare is what one owner may still send to a service in the window: items at all,
-// and such that can wait.
+// serviceShare is what one owner may still send to a service in the window: urgent counts
+// all items, deferrable those that can wait.
 type serviceShare struct {
 	urgent, deferrable int
-	// places is how many slots batch has in the mean.
+	// meanSlots is the mean number of slots that are available to batch items.
 	meanSlots int
-	// untilValley is how long it takes until the next valley of demand, 0 if no rhythm
-	// shows.
+	// untilValley is the time until the next valley of demand, or 0 if demand isn't
+	// periodic.
 	untilValley time.Duration
 }
 
-// wait is how long items may wait for room that lasts: until the next valley, or as long
-// as one of those that run where demand shows no rhythm.
+// wait returns how long deferrable items may have to wait for capacity: until the next
+// valley of demand, or one item's run time if demand isn't periodic.
 func (s *serviceShare) wait(itemTime time.Duration) time.Duration {
 	if s.untilValley > 0 {
 		return s.untilValley
@@ -92,9 +91,9 @@
 	return &placer{random: random, zone: zone, avoidedUntil: map[string]time.Time{}, capacityAt: capacityAt}
 }
 
-// begin starts a pass over the waiting items: so many of this owner's and so
-// many of others'. After the window all owners know of each other's placements,
-// and what is left is shared out anew.
+// begin starts a pass over the waiting items, given their number at this owner and at all
+// others. Once the window has passed, all owners know of each other's placements, and a
+// new window begins.
 func (p *placer) begin(own, others int, now time.Time, window time.Duration) {
 	p.fullServices, p.now = map[string]bool{}, now
 	if now.Sub(p.windowStart) < window {
@@ -110,15 +109,15 @@
 	}
 }
 
-// avoid leaves a backend alone until a time.
+// avoid sends no items to a backend until the given time.
 func (p *placer) avoid(id string, until time.Time) { p.avoidedUntil[id] = until }
 
-// pause places nothing until a time.
+// pause sends no items to any backend until the given time.
 func (p *placer) pause(until time.Time) { p.pausedUntil = until }
 
 func (p *placer) isPaused(now time.Time) bool { return now.Before(p.pausedUntil) }
 
-// isFull reports whether an item found no room at the service in this pass.
+// isFull reports whether no backend of the service had a free slot in this pass.
 func (p *placer) isFull(service string) bool { return p.fullServices[service] }
 
 // share returns what this owner may still send to a service in the window.
@@ -132,13 +131,13 @@
 	return share
 }
 
-// hasRoom reports whether the fleet has room for an item of this owner at a service.
+// hasCapacity reports whether this owner may send another item to the service.
 func (p *placer) hasCapacity(service string, mustRun bool) bool {
 	share := p.share(service)
 	return share.urgent > 0 && (mustRun || share.deferrable > 0)
 }
 
-// choose picks a backend with room for an item and counts the item there.
+// choose selects a backend with a free slot and counts the item against the quotas.
 func (p *placer) choose(service string, prompt []routing.PromptPart, candidates []routing.Candidate) (routing.Candidate, bool) {
 	available := make([]routing.Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -160,7 +159,7 @@
 	return chosen, true
 }
 
-// quota is what this owner may still place at the backend in the window.
+// quota returns how many more items this owner may send to the backend in the window.
 func (p *placer) quota(candidate routing.Candidate) int {
 	if p.now.Before(p.avoidedUntil[candidate.ID]) {
 		return 0
@@ -173,12 +172,12 @@
 	return remaining
 }
 
-// itemTimes learns how long items run. Service.mutex guards it.
+// itemTimes estimates how long items run. Service.mutex guards it.
 type itemTimes struct {
 	mean time.Duration
 }
 
-// note records the time that an item ran, over all its attempts.
+// add records the run time of a completed item, over all its attempts.
 func (c *itemTimes) add(ran time.Duration) {
 	c.mean = c.expected() + time.Duration(itemTimeWeight*float64(ran-c.expected()))
 }
@@ -190,14 +189,14 @@
 	return c.mean
 }
 
-// isUrgent reports whether an item that ran for so long already must run now
-// to end before it is due. One past its time is not: nothing is gained by it.
+// isUrgent reports whether an item with this run time so far must run now to end before
+// it is due. An item past its due time isn't urgent.
 func (c *itemTimes) isUrgent(ran, untilDue time.Duration) bool {
 	return untilDue > 0 && untilDue-remainingTime(c.expected(), ran) < urgentSlack
 }
 
-// remainingTime is how long an item that ran for so long may have yet to run: half as long
-// again as items take, and never nothing.
+// remainingTime estimates how much longer an item runs: one and a half times the expected
+// run time, less the time it ran, and at least a quarter of the expected one.
 func remainingTime(expected, ran time.Duration) time.Duration {
 	return max(expected*3/2-ran, expected/4)
 }
--- a/internal/job/preemption.go
+++ b/internal/job/preemption.go
@@ -7,30 +7,31 @@
 	"topazpulley/internal/routing"
 )
 
-// yielder decides how many of its own items an owner takes back from a backend
-// where online requests wait for a slot, beside those that requests preempt
-// themselves once backends have refused them. Owners learn of each other's
-// decisions only a moment later. Until then a look shows the same excess again,
-// less only what this owner took back itself; answering it anew at every look
-// would take back many times what is too much. It belongs to the dispatcher's
-// goroutine.
+// preemptor decides how many of its own items an owner preempts at a backend where online
+// requests wait for a slot. Requests that a backend refused preempt items themselves; see
+// Service.preemptOne.
+//
+// Owners learn of each other's preemptions with a delay, and see the same excess until
+// then. Each owner therefore preempts its share of an excess once per window. Only the
+// dispatcher's goroutine uses it.
 type preemptor struct {
 	random *rand.Rand
-	// answered is the excess that has been answered, by backend.
+	// handled is the excess that was acted on, by backend.
 	handled map[string]handledExcess
-	// overloadedSince is since when backends are crowded although there is room elsewhere.
+	// overloadedSince is since when a backend has an excess although its service has free
+	// slots.
 	overloadedSince map[string]time.Time
 }
 
-// excessDelay is how long a backend is crowded, where there is room elsewhere, until its
-// items give way: a request that asks for a place there is counted for some milliseconds
-// and goes elsewhere; one that stays longer waits there.
+// excessDelay is how long an excess must last before items are preempted, if the service
+// has free slots elsewhere. A request that asks several backends for a slot is counted at
+// each for a few milliseconds.
 const excessDelay = 20 * time.Millisecond
 
-// handledExcess is an excess of which this owner has taken back its part.
+// handledExcess is an excess of which this owner has preempted its share.
 type handledExcess struct {
 	at time.Time
-	// left is what the other owners have yet to take back.
+	// remaining is what the other owners have yet to preempt.
 	remaining int
 }
 
@@ -38,8 +39,8 @@
 	return &preemptor{random: random, handled: map[string]handledExcess{}, overloadedSince: map[string]time.Time{}}
 }
 
-// crowding returns how many batch items a backend has too many: those that
-// hold slots for which online requests wait.
+// batchExcess returns the number of batch items at a backend that use slots for which
+// online requests wait.
 func batchExcess(candidate routing.Candidate) int {
 	over := candidate.Online + candidate.Batch - candidate.Slots
 	if over <= 0 || candidate.Batch == 0 || candidate.Online == 0 {
@@ -48,8 +49,8 @@
 	return min(over, candidate.Batch)
 }
 
-// stands reports whether an excess at the backend is to be answered now: at once, or where
-// there is room elsewhere once it has stood.
+// isExcessDue reports whether an excess at the backend is to be acted on now: at once, or
+// after excessDelay if the service has free slots.
 func (y *preemptor) isExcessDue(candidate routing.Candidate, hasFreeSlots bool, now time.Time) bool {
 	if !hasFreeSlots || batchExcess(candidate) == 0 {
 		delete(y.overloadedSince, candidate.ID)
@@ -63,7 +64,7 @@
 	return now.Sub(since) >= excessDelay
 }
 
-// nextCheck is the time until the next look at backends without being woken.
+// nextCheck returns the time until backends are checked again.
 func (y *preemptor) nextCheck() time.Duration {
 	if len(y.overloadedSince) > 0 {
 		return excessDelay
@@ -71,9 +72,8 @@
 	return preemptInterval
 }
 
-// share returns how many of its own items the owner takes back now: its part of
-// the excess that was not there before, or that still stands after the window
-// in which all owners hear of each other.
+// share returns how many of its own items the owner preempts now: its share of the excess
+// that is new, or that remains after the window.
 func (y *preemptor) share(candidate routing.Candidate, now time.Time, window time.Duration) int {
 	excess := batchExcess(candidate)
 	if excess == 0 {
@@ -92,7 +92,7 @@
 	return count
 }
 
-// forget drops what is older than the window.
+// forget drops entries that are older than the window.
 func (y *preemptor) forget(now time.Time, window time.Duration) {
 	for id, handled := range y.handled {
 		if now.Sub(handled.at) >= window {
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -18,28 +18,28 @@
 	"topazpulley/internal/table"
 )
 
-// tableProgress holds checkpoints of items, so that a new owner goes on where
-// the last one stopped and counts on how often an item failed. Their text is a
-// saving only: without it an item is run from its start.
+// tableProgress holds checkpoints of items. A new owner resumes an item from its checkpoint
+// and continues the count of its failures. Without the text, the item runs from its start.
 const tableProgress = "item_progress"
 
 const (
 	checkpointInterval = time.Second
-	// minCheckpointEvents is how many events an item must have made since its
-	// last checkpoint.
+	// minCheckpointEvents is how many events an item must have produced since its last
+	// checkpoint.
 	minCheckpointEvents = 16
-	// maxCheckpoints bounds the rows of one transaction, and maxCheckpointText the
-	// text of one row.
+	// maxCheckpoints limits the rows of one transaction, and maxCheckpointText the text of
+	// one row in bytes.
 	maxCheckpoints    = 40
 	maxCheckpointText = 40 << 10
-	// maxCommitText bounds the text of one transaction: checkpoints save work
-	// and must not keep results waiting on a slow link.
+	// maxCommitText limits the text of one transaction in bytes, so that checkpoints don't
+	// delay results on a slow link.
 	maxCommitText = 128 << 10
 )
 
 func progressKey(id, item string) string { return id + "/" + item }
 
-// progress is what the attempts at an item have produced. mutex guards it.
+// progress is what the attempts at an item have produced. mutex guards the fields below it.
+// lastEvent and savedEvent are the ids of the last event and of the last one in a checkpoint.
 type progress struct {
 	mutex      sync.Mutex
 	content    []byte
@@ -47,13 +47,13 @@
 	lastEvent  int64
 	savedEvent int64
 	isSaved    bool
-	// failures counts the attempts that a backend answered with an error, of
-	// all owners; savedFailures is the count in the last checkpoint.
+	// failures counts the attempts that a backend answered with an error, over all owners.
+	// savedFailures is the count in the last checkpoint.
 	failures      int
 	savedFailures int
 }
 
-// add appends an event and reports whether it is the next one.
+// add appends an event. It returns false if the event isn't the next one.
 func (p *progress) add(event serving.Event) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,7 +69,7 @@
 	return true
 }
 
-// fail counts an attempt that a backend answered with an error.
+// addFailure counts an attempt that a backend answered with an error.
 func (p *progress) addFailure() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -122,8 +122,8 @@
 	p.lastEvent, p.savedEvent = from.LastEvent, from.LastEvent
 }
 
-// due returns a checkpoint if at least so many events came since the last one,
-// or a failure. A text that is too long for a row is left out.
+// due returns a checkpoint if there are at least this many events since the last one, or a
+// new failure. A text that is too long for a row is omitted.
 func (p *progress) due(events int64) (checkpoint, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -140,15 +140,15 @@
 	return taken, true
 }
 
-// unsaved returns how many events came since the last checkpoint.
+// unsaved returns the number of events since the last checkpoint.
 func (p *progress) unsaved() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.lastEvent - p.savedEvent
 }
 
-// recordSaved records that a checkpoint may be in the store. What it holds is
-// trusted only when isCertain: a lost answer may leave a row behind.
+// recordSaved records that a checkpoint may be in the store. Its content counts as saved only
+// if isCertain: a commit without an answer may or may not have written the row.
 func (p *progress) recordSaved(taken checkpoint, isCertain bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -170,7 +170,7 @@
 	})
 }
 
-// saveProgress writes checkpoints of items with at least so many new events.
+// saveProgress writes checkpoints of items with at least this many new events.
 func (o *owned) saveProgress(ctx context.Context, events int64) {
 	transaction := table.Transaction{
 		Partition:  shard(o.job.ID),
@@ -221,8 +221,8 @@
 	return found
 }
 
-// byUnsavedEvents returns the unfinished items, those with the most events since
-// their last checkpoint first.
+// byUnsavedEvents returns the unfinished items, those with the most events since their last
+// checkpoint first.
 func (o *owned) byUnsavedEvents() []*work {
 	found := o.unfinished()
 	unsaved := make(map[*work]int64, len(found))
@@ -247,7 +247,7 @@
 	return false
 }
 
-// checkpoints reads what earlier owners left of a job's items.
+// checkpoints reads the checkpoints of a job's items, by item.
 func (s *Service) checkpoints(ctx context.Context, id string) (map[string]checkpoint, error) {
 	found := map[string]checkpoint{}
 	from := progressKey(id, "")
--- a/internal/job/sweep.go
+++ b/internal/job/sweep.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// sweepInterval is the pause between two looks at an account's reservations
-	// by the daemon that is first in rank; each further rank looks less often.
+	// sweepInterval is the time between two checks of an account's reservations by the daemon
+	// with rank 0. Daemons with rank 1 and 2 check less often, the others never.
 	sweepInterval = 2 * time.Second
 	sweepRanks    = 3
 	sweepTimeout  = time.Second
-	// sweepAge is how long a reservation may stand without an open job.
+	// sweepAge is how long a reservation may remain without an open job.
 	sweepAge = 4 * time.Second
 )
 
-// sweeper remembers since when reservations stand without an open job. It
-// belongs to one goroutine.
+// sweeper records since when reservations have no open job. Only the goroutine of sweepAll
+// uses it.
 type sweeper struct {
-	// seen is by account, and by the version of a reservation's row.
+	// firstSeen is by account, and by the version of a reservation's row.
 	firstSeen map[string]map[table.Version]time.Time
+	// lastSweep is by route.
 	lastSweep map[string]time.Time
 }
 
@@ -35,7 +36,7 @@
 	return sweeper{firstSeen: map[string]map[table.Version]time.Time{}, lastSweep: map[string]time.Time{}}
 }
 
-// sweepAll takes back the reservations that daemons left behind, until the
+// sweepAll releases the reservations of jobs that are over or were never accepted, until the
 // context ends.
 func (s *Service) sweepAll(ctx context.Context) {
 	periodic.Run(ctx, sweepInterval, func() {
@@ -55,7 +56,8 @@
 	})
 }
 
-// isDue reports whether a daemon of this rank should look now.
+// isDue reports whether a daemon of this rank should check a route now, and counts it as
+// checked.
 func (w *sweeper) isDue(name string, rank int, now time.Time) bool {
 	pause := sweepInterval * time.Duration(1+rank*sweepRanks)
 	if rank >= sweepRanks || now.Sub(w.lastSweep[name]) < pause-sweepInterval/2 {
@@ -65,8 +67,8 @@
 	return true
 }
 
-// accountsOf returns the accounts of a route: one, or those of its tenants that
-// have reservations.
+// accountsOf returns the accounts of a route: one, or those of its tenants that have
+// reservations.
 func (s *Service) accountsOf(ctx context.Context, matched *route.Route, current *route.Table) []string {
 	if current.Tenants().Count() == 0 {
 		return []string{matched.Name}
@@ -99,7 +101,7 @@
 	}
 }
 
-// withoutOpenJob returns the reservations of which no open job is known.
+// withoutOpenJob returns the reservations whose job isn't known to be open.
 func (s *Service) withoutOpenJob(listed []quota.Reservation) []quota.Reservation {
 	found := []quota.Reservation{}
 	for _, each := range listed {
@@ -110,7 +112,7 @@
 	return found
 }
 
-// overdue returns those that have stood unchanged for too long.
+// expired returns the reservations that have had no open job for sweepAge.
 func (w *sweeper) expired(name string, without []quota.Reservation, now time.Time) []quota.Reservation {
 	before := w.firstSeen[name]
 	seen := map[table.Version]time.Time{}
@@ -129,9 +131,9 @@
 	return due
 }
 
-// isAbandoned reports whether a job is over, or was never accepted and never
-// will be by a try that is under way. The claim is read after the acceptance: a
-// job that exists and has no claim is over.
+// isAbandoned reports whether a job is over, or was never accepted. A job without an acceptance
+// is voided first, so that a submission in progress can't have it accepted later. The claim is
+// read after the acceptance: a job that is accepted and has no claim is over.
 func (s *Service) isAbandoned(ctx context.Context, id string) bool {
 	_, err := s.acceptance(ctx, id)
 	if failure.Is(err, failure.KindNotFound) {
--- a/internal/job/takeover.go
+++ b/internal/job/takeover.go
@@ -10,11 +10,11 @@
 
 const (
 	superviseInterval = 200 * time.Millisecond
-	// maxTakeovers bounds the jobs that a daemon reads at the same time.
+	// maxTakeovers limits the jobs that a daemon takes over at the same time.
 	maxTakeovers = 4
-	// takeoverAttempts is how often a daemon tries to read a job that it has
-	// claimed before it leaves the job to others, for abstainTime: its link may
-	// be too slow for the job.
+	// takeoverAttempts is how often a daemon tries to read a job that it has claimed. It then
+	// releases the claim and doesn't claim the job again for abstainTime: its link may be
+	// too slow for the job.
 	takeoverAttempts = 2
 	abstainTime      = 10 * time.Second
 )
@@ -23,7 +23,7 @@
 type takeovers struct {
 	active   map[string]bool
 	failures map[string]int
-	// abstained is until when a job is left to other daemons.
+	// abstainedUntil is until when a job is left to other daemons.
 	abstainedUntil map[string]time.Time
 }
 
@@ -36,8 +36,8 @@
 	return !t.active[id] && len(t.active) < maxTakeovers && !now.Before(t.abstainedUntil[id])
 }
 
-// end notes how a takeover ended and reports whether the job should be left to
-// other daemons.
+// finish records the end of a takeover, and reports whether the job should be left to other
+// daemons.
 func (t *takeovers) finish(id string, hasFailed bool, now time.Time) bool {
 	delete(t.active, id)
 	if !hasFailed {
@@ -53,7 +53,7 @@
 	return true
 }
 
-// forget drops what is over.
+// expire drops abstentions that are over.
 func (t *takeovers) expire(now time.Time) {
 	for id, until := range t.abstainedUntil {
 		if !now.Before(until) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// superviseClaims takes over jobs whose owners are gone.
+// superviseClaims takes over jobs whose owners are gone, until the context ends.
 func (s *Service) superviseClaims(ctx context.Context) {
 	periodic.Run(ctx, superviseInterval, func() {
 		for id, orphaned := range s.orphaned(time.Now()) {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// takeOver claims a job and goes on with it.
+// takeOver claims a job, reads it and starts running it.
 func (s *Service) takeOver(ctx context.Context, id string, orphaned versionedClaim) {
 	claimed, err := s.claimOrphan(ctx, id, orphaned)
 	if err != nil {
@@ -111,8 +111,8 @@
 	return s.takeovers.finish(id, hasFailed, time.Now())
 }
 
-// claimOrphan makes this daemon the owner, unless an earlier call whose answer
-// was lost did so.
+// claimOrphan makes this daemon the owner of a job. If the claim names this daemon already,
+// because an earlier commit took effect without an answer, it is returned as it is.
 func (s *Service) claimOrphan(ctx context.Context, id string, orphaned versionedClaim) (versionedClaim, error) {
 	if orphaned.claim.Owner == s.self.Name && orphaned.claim.Incarnation == s.self.Incarnation {
 		return orphaned, nil
@@ -126,7 +126,7 @@
 	return versionedClaim{claim: next, version: version}, nil
 }
 
-// replaceClaim sets the claim of a job if it still has the version.
+// replaceClaim replaces the claim of a job if its row still has the version.
 func (s *Service) replaceClaim(ctx context.Context, id string, version table.Version, next claim) (table.Version, error) {
 	value, err := encode(next)
 	if err != nil {
@@ -139,8 +139,8 @@
 	})
 }
 
-// readOrphan reads a job and what earlier owners left of it. The step names what
-// could not be read.
+// readOrphan reads a job with its results and checkpoints. On failure, step names what could
+// not be read.
 func (s *Service) readOrphan(ctx context.Context, id string) (loaded Job, earlier history, step string, err error) {
 	accepted, err := s.acceptance(ctx, id)
 	if err != nil {
@@ -158,13 +158,14 @@
 	return loaded, earlier, "", nil
 }
 
-// releaseClaim lets another daemon take over a job that this one cannot read.
+// releaseClaim removes this daemon from the claim of a job that it can't read, so that another
+// one may take the job over.
 func (s *Service) releaseClaim(ctx context.Context, id string, claimed versionedClaim) {
 	version, err := s.replaceClaim(ctx, id, claimed.version, claim{Epoch: claimed.claim.Epoch, Tenant: claimed.claim.Tenant})
 	s.log.Info("job_given_back", "job", id, "epoch", claimed.claim.Epoch, "version", version, "error", err)
 }
 
-// allResults reads everything that is listed of a job.
+// allResults reads all results of a job.
 func (s *Service) allResults(ctx context.Context, id string, total int) ([]Result, error) {
 	all := []Result{}
 	for len(all) < total {
