--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -14,6 +14,8 @@
 )
 
 const (
+	// refusedPause is the time before an item that was refused or preempted is sent again,
+	// failedPause that after any other failure.
 	refusedPause = 100 * time.Millisecond
 	failedPause  = 200 * time.Millisecond
 	// quarantinedPause is the time between two checks of a quarantined item: a quarantine may
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -10,7 +10,8 @@
 // claimsAgeLimit is the age of this daemon's copy of the claims above which it starts no
 // items: a job may have been cancelled or taken over meanwhile. Items of a cancelled job
 // must not reach a backend more than three seconds after the cancellation; the limit leaves
-// a second of this for the way to the backend.
+// a second of this for the way to the backend. In normal operation the copy is at most
+// 1.5 s old.
 const claimsAgeLimit = 2 * time.Second
 
 // permitError says why an item may not be started now.
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -56,7 +56,7 @@
 	// window. shares are this owner's part of it, by service.
 	capacityAt func(service string, now time.Time) batchcapacity.Capacity
 	shares     map[string]*serviceShare
-	// fullServices are the services without a free slot in this pass.
+	// fullServices are the services at which this owner may use no more slots in this pass.
 	fullServices map[string]bool
 	// avoidedUntil is until when no items are sent to a backend, because an item was
 	// preempted there.
@@ -117,7 +117,7 @@
 
 func (p *placer) isPaused(now time.Time) bool { return now.Before(p.pausedUntil) }
 
-// isFull reports whether no backend of the service had a free slot in this pass.
+// isFull reports whether choose found no backend of the service in this pass.
 func (p *placer) isFull(service string) bool { return p.fullServices[service] }
 
 // share returns what this owner may still send to a service in the window.
@@ -137,7 +137,7 @@
 	return share.urgent > 0 && (mustRun || share.deferrable > 0)
 }
 
-// choose selects a backend with a free slot and counts the item against the quotas.
+// choose selects a backend with quota left and counts the item against the quotas.
 func (p *placer) choose(service string, prompt []routing.PromptPart, candidates []routing.Candidate) (routing.Candidate, bool) {
 	available := make([]routing.Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
--- a/internal/job/preemption.go
+++ b/internal/job/preemption.go
@@ -64,7 +64,8 @@
 	return now.Sub(since) >= excessDelay
 }
 
-// nextCheck returns the time until backends are checked again.
+// nextCheck returns the time until backends are checked again, unless an overload is
+// signalled before.
 func (y *preemptor) nextCheck() time.Duration {
 	if len(y.overloadedSince) > 0 {
 		return excessDelay
