--- a/internal/job/waiting.go
+++ b/internal/job/accounts.go
@@ -13,26 +13,25 @@
 )
 
 const (
-	// settleInterval is the pause between two looks at what ended, and
-	// settleLazily how long an account that is far from its limit may wait to
-	// hear of it.
-	settleInterval = 200 * time.Millisecond
-	settleLazily   = 5 * time.Second
-	settleTimeout  = time.Second
-	// settleOperations bounds what one call settles.
-	settleOperations = 40
-	// unboundedPause is the pause between two looks whether a route has a bound.
-	unboundedPause = time.Second
+	// settleInterval is the time between two checks for tokens to settle. An account that
+	// isn't near its limit is updated at most every lazySettleInterval.
+	settleInterval     = 200 * time.Millisecond
+	lazySettleInterval = 5 * time.Second
+	settleTimeout      = time.Second
+	// maxSettleOperations limits the operations of one call.
+	maxSettleOperations = 40
+	// unlimitedPause is the time between two checks whether any route has a token limit.
+	unlimitedPause = time.Second
 )
 
-// account is where a job's waiting tokens count.
+// account is where the waiting tokens of a job are counted, with its limit.
 type account struct {
 	name  string
 	limit quota.Limit
 }
 
-// accountOf returns the account of a job's route as now configured. It reports
-// false when the route is not known or has no bound.
+// accountOf returns the account of a job by the current configuration. It returns false if
+// the route is unknown or has no token limit.
 func (s *Service) accountOf(job *Job) (account, bool) {
 	current := s.holder.Current()
 	if s.quota == nil || current == nil || len(job.Items) == 0 {
@@ -45,8 +44,8 @@
 	return account{name: accountName(matched, job.Tenant), limit: quota.Limit{Tokens: matched.MaxQueuedTokens, Config: current.Version()}}, true
 }
 
-// accountName names the account of a tenant on a route. Without tenants all
-// jobs of a route share one.
+// accountName names the account of a tenant on a route. Without tenants all jobs of a route
+// share one.
 func accountName(matched *route.Route, tenant string) string {
 	if tenant == "" {
 		return matched.Name
@@ -54,8 +53,8 @@
 	return matched.Name + quota.TenantSeparator + tenant
 }
 
-// reservation is tokens that were set aside for a job before its acceptance.
-// The zero value stands for a job without a bound.
+// reservation is the tokens that are reserved for a job before its acceptance. The zero value
+// means that the job's route has no token limit.
 type reservation struct {
 	account account
 	job     string
@@ -75,31 +74,31 @@
 	return settlement{account: r.account, tokens: r.tokens, at: time.Now()}
 }
 
-// reserve sets a job's tokens aside.
+// reserve reserves a job's tokens.
 func (s *Service) reserve(ctx context.Context, submitted *Job) (reservation, error) {
 	found, isBounded := s.accountOf(submitted)
 	if !isBounded {
 		return reservation{}, nil
 	}
-	held := reservation{account: found, job: submitted.ID, tokens: submitted.tokens()}
-	err := s.reserveAgain(ctx, submitted, &held)
-	return held, err
+	reserved := reservation{account: found, job: submitted.ID, tokens: submitted.tokens()}
+	err := s.renewReservation(ctx, submitted, &reserved)
+	return reserved, err
 }
 
-// reserveAgain sets the tokens aside under a new holder, so that a sweeper which
-// frees the earlier reservation spares this one.
-func (s *Service) reserveAgain(ctx context.Context, submitted *Job, held *reservation) error {
-	if !held.isBounded() {
+// renewReservation reserves the tokens under a new holder. A sweeper that releases the earlier
+// reservation then doesn't release this one.
+func (s *Service) renewReservation(ctx context.Context, submitted *Job, reserved *reservation) error {
+	if !reserved.isBounded() {
 		return nil
 	}
 	var err error
-	held.holder = s.newHolder()
-	held.isNew, err = s.quota.Reserve(ctx, held.account.name, held.account.limit, submitted.ID, held.tokens, held.holder)
+	reserved.holder = s.newHolder()
+	reserved.isNew, err = s.quota.Reserve(ctx, reserved.account.name, reserved.account.limit, submitted.ID, reserved.tokens, reserved.holder)
 	return err
 }
 
-// newHolder names one call, so that a call which failed takes back nothing that
-// a later one relies on.
+// newHolder returns a unique name for one call, so that a failed call doesn't release the
+// reservation of a later one.
 func (s *Service) newHolder() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,56 +106,56 @@
 	return fmt.Sprintf("%s/%d/%d", s.self.Name, s.self.Incarnation, s.submission)
 }
 
-// release takes back a reservation that this call made, as well as the store
-// allows now; the rest is swept later. One that stood before may belong to a
-// try whose outcome is unknown.
-func (s *Service) release(held reservation) {
-	if !held.isNew {
+// release releases a reservation that this call made, in the background. If that fails, the
+// sweeper releases it later. A reservation that existed before is kept: it may belong to an
+// earlier submission whose outcome is unknown.
+func (s *Service) release(reserved reservation) {
+	if !reserved.isNew {
 		return
 	}
 	go func() {
 		bounded, cancel := context.WithTimeout(s.lifetime, settleTimeout)
 		defer cancel()
-		_, err := s.quota.Apply(bounded, held.account.name, held.account.limit, []quota.Operation{{Kind: quota.KindRelease, Job: held.job, Holder: held.holder}})
-		s.log.Info("reservation_released", "job", held.job, "account", held.account.name, "tokens", held.tokens, "error", err)
+		_, err := s.quota.Apply(bounded, reserved.account.name, reserved.account.limit, []quota.Operation{{Kind: quota.KindRelease, Job: reserved.job, Holder: reserved.holder}})
+		s.log.Info("reservation_released", "job", reserved.job, "account", reserved.account.name, "tokens", reserved.tokens, "error", err)
 	}()
 }
 
-// settlement is what a job's account was told: so many tokens at a time.
+// settlement is the last update of a job's tokens that its account received.
 type settlement struct {
 	account account
 	tokens  int64
 	at      time.Time
 }
 
-// overJob is a job that is over and whose reservation stands yet.
-type overJob struct {
+// endedJob is a job that is over and whose reservation still has to be settled.
+type endedJob struct {
 	account account
 	epoch   int64
 }
 
-// noteOver has the account of a job that is over told.
-func (s *Service) noteOver(held *owned) {
-	held.mutex.Lock()
-	told, epoch := held.settled.account, held.claim.claim.Epoch
-	held.mutex.Unlock()
-	isBounded := told.name != ""
+// settleEnded queues the last settlement of a job that is over.
+func (s *Service) settleEnded(ended *owned) {
+	ended.mutex.Lock()
+	target, epoch := ended.settled.account, ended.claim.claim.Epoch
+	ended.mutex.Unlock()
+	isBounded := target.name != ""
 	if !isBounded {
-		told, isBounded = s.accountOf(&held.job)
+		target, isBounded = s.accountOf(&ended.job)
 	}
 	if !isBounded {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.over[held.job.ID] = overJob{account: told, epoch: epoch}
+	s.over[ended.job.ID] = endedJob{account: target, epoch: epoch}
 }
 
-// settleAll tells accounts what ended until the context ends.
+// settleAll sends settlements to accounts until the context ends.
 func (s *Service) settleAll(ctx context.Context) {
 	periodic.Run(ctx, settleInterval, func() {
-		if !s.hasBounds() {
-			periodic.Sleep(ctx, unboundedPause)
+		if !s.hasTokenLimit() {
+			periodic.Sleep(ctx, unlimitedPause)
 			return
 		}
 		for name, due := range s.dueSettlements(time.Now()) {
@@ -165,8 +164,8 @@
 	})
 }
 
-// hasBounds reports whether the waiting tokens of a route are bounded.
-func (s *Service) hasBounds() bool {
+// hasTokenLimit reports whether any route limits its waiting tokens.
+func (s *Service) hasTokenLimit() bool {
 	current := s.holder.Current()
 	if current == nil {
 		return false
@@ -174,15 +173,15 @@
 	return slices.ContainsFunc(current.JobRoutes(), func(each *route.Route) bool { return each.MaxQueuedTokens > 0 })
 }
 
-// dueSettlement is one operation with the job that it settles; the job is nil
-// when it is over.
+// dueSettlement is one operation with the job that it settles. owned is nil if the job is
+// over.
 type dueSettlement struct {
 	limit     quota.Limit
 	operation quota.Operation
 	owned     *owned
 }
 
-// dueSettlements returns what each account should be told now.
+// dueSettlements returns the operations to send now, by account.
 func (s *Service) dueSettlements(now time.Time) map[string][]dueSettlement {
 	due := map[string][]dueSettlement{}
 	s.mutex.Lock()
@@ -192,21 +191,21 @@
 		due[ended.account.name] = append(due[ended.account.name], dueSettlement{limit: ended.account.limit, operation: operation})
 	}
 	s.mutex.Unlock()
-	for _, held := range jobs {
-		found, isBounded := s.accountOf(&held.job)
+	for _, each := range jobs {
+		found, isBounded := s.accountOf(&each.job)
 		if !isBounded {
 			continue
 		}
-		waiting := held.waitingTokens()
-		if held.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
-			operation := quota.Operation{Kind: quota.KindSettle, Job: held.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: held.claim.claim.Epoch}
-			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: held})
+		waiting := each.waitingTokens()
+		if each.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
+			operation := quota.Operation{Kind: quota.KindSettle, Job: each.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: each.claim.claim.Epoch}
+			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: each})
 		}
 	}
 	return due
 }
 
-// waitingTokens is the size of the items that no backend has finished.
+// waitingTokens returns the size of the unfinished items.
 func (o *owned) waitingTokens() int64 {
 	total := int64(0)
 	for _, each := range o.unfinished() {
@@ -215,23 +214,23 @@
 	return total
 }
 
-// isSettlementDue reports whether the job's account should be told what waits. A
-// job that was taken over is counted already, with more than waits at worst.
-func (o *owned) isSettlementDue(found account, waiting int64, isPressed bool, now time.Time) bool {
+// isSettlementDue reports whether the job's waiting tokens should be sent to its account now.
+// A job that was taken over is counted there already, with at least its waiting tokens.
+func (o *owned) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	isTold := o.settled.account.name == found.name
-	if isTold && o.settled.tokens == waiting {
+	isCurrentAccount := o.settled.account.name == found.name
+	if isCurrentAccount && o.settled.tokens == waiting {
 		return false
 	}
-	isCounted := isTold || o.claim.claim.Epoch > 1
-	return !isCounted || isPressed || now.Sub(o.settled.at) >= settleLazily
+	isCounted := isCurrentAccount || o.claim.claim.Epoch > 1
+	return !isCounted || isNearLimit || now.Sub(o.settled.at) >= lazySettleInterval
 }
 
-// settle tells one account.
+// settle sends the due operations of one account.
 func (s *Service) settle(ctx context.Context, name string, due []dueSettlement) {
 	for len(due) > 0 {
-		count := min(settleOperations, len(due))
+		count := min(maxSettleOperations, len(due))
 		part := due[:count]
 		due = due[count:]
 		operations := make([]quota.Operation, 0, count)
@@ -245,11 +244,11 @@
 			s.log.Info("settlement_failed", "account", name, "jobs", count, "error", err)
 			return
 		}
-		s.noteSettled(name, part)
+		s.recordSettled(name, part)
 	}
 }
 
-func (s *Service) noteSettled(name string, settled []dueSettlement) {
+func (s *Service) recordSettled(name string, settled []dueSettlement) {
 	now := time.Now()
 	for _, each := range settled {
 		if each.owned == nil {
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -16,47 +16,46 @@
 
 const (
 	dispatchInterval = 100 * time.Millisecond
-	// yieldInterval is longer than the time in which owners learn of each
-	// other's items, so that what was taken back is not taken back twice.
-	yieldInterval = 200 * time.Millisecond
-	// crowdedPause is the shortest time between two looks at crowded backends,
-	// in which others hear of what gave way.
-	crowdedPause = 10 * time.Millisecond
-	// givenWayPause is how long an owner sends no items after it was asked to give
-	// way: online requests find no places, and free slots that it knows of are
-	// taken. Bursts bring such questions many times a second.
-	givenWayPause = 250 * time.Millisecond
-	// batchTolerance is the difference in cost, in milliseconds, that does not
-	// matter to batch items.
-	batchTolerance = 40
+	// preemptInterval is longer than the time in which owners learn of each other's items, so
+	// that the same excess isn't preempted twice.
+	preemptInterval = 200 * time.Millisecond
+	// overloadPause is the minimum time between two checks of overloaded backends, in which
+	// other owners learn of preemptions.
+	overloadPause = 10 * time.Millisecond
+	// preemptionPause is how long an owner sends no items after an online request needed the
+	// slot of one: slots that still count as free are most likely taken.
+	preemptionPause = 250 * time.Millisecond
+	// batchCostTolerance is the difference in cost, in milliseconds, up to which backends
+	// count as equal for batch items.
+	batchCostTolerance = 40
 )
 
-// dispatchItems sends waiting items to backends with room, and takes items
-// back from backends that online requests need. A daemon that owns no job, as
-// most do in a large fleet, is woken by its next one only.
+// dispatchItems sends waiting items to backends with free slots, and preempts items at
+// backends whose slots online requests need. While the daemon owns no job, its tickers are
+// stopped.
 func (s *Service) dispatchItems(ctx context.Context) {
 	dispatch := time.NewTicker(dispatchInterval)
 	defer dispatch.Stop()
-	yield := time.NewTicker(yieldInterval)
-	defer yield.Stop()
+	preempt := time.NewTicker(preemptInterval)
+	defer preempt.Stop()
 	isIdle := false
 	for {
 		if ownsNone := s.Owned() == 0; ownsNone != isIdle {
 			isIdle = ownsNone
-			s.pauseTickers(isIdle, dispatch, yield)
+			s.pauseTickers(isIdle, dispatch, preempt)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-yield.C:
-			s.yieldItems()
-			s.resetYield(isIdle, yield)
+		case <-preempt.C:
+			s.preemptExcess()
+			s.resetPreempt(isIdle, preempt)
 		case <-s.backends.Overloaded():
-			s.yieldItems()
-			s.resetYield(isIdle, yield)
-			periodic.Sleep(ctx, crowdedPause)
+			s.preemptExcess()
+			s.resetPreempt(isIdle, preempt)
+			periodic.Sleep(ctx, overloadPause)
 		case id := <-s.backends.OwnPreemptions():
-			s.giveWay(id)
+			s.preemptOne(id)
 		case <-dispatch.C:
 			s.dispatchWaiting()
 		case <-s.wake:
@@ -65,34 +64,34 @@
 	}
 }
 
-// resetYield sets when running items are looked at again, if any job is owned.
-func (s *Service) resetYield(isIdle bool, yield *time.Ticker) {
+// resetPreempt sets the time of the next check for preemption, if any job is owned.
+func (s *Service) resetPreempt(isIdle bool, preempt *time.Ticker) {
 	if !isIdle {
-		yield.Reset(s.yielder.nextLook())
+		preempt.Reset(s.yielder.nextCheck())
 	}
 }
 
 // pauseTickers stops the dispatcher's tickers while no job is owned.
-func (s *Service) pauseTickers(isIdle bool, dispatch, yield *time.Ticker) {
+func (s *Service) pauseTickers(isIdle bool, dispatch, preempt *time.Ticker) {
 	if isIdle {
 		dispatch.Stop()
-		yield.Stop()
+		preempt.Stop()
 		s.backends.SetOwnWaiting(0)
 		return
 	}
 	dispatch.Reset(dispatchInterval)
-	yield.Reset(yieldInterval)
+	preempt.Reset(preemptInterval)
 }
 
-// dispatchWaiting sends items, those due first first.
+// dispatchWaiting sends waiting items, in the order of the due times of their jobs.
 func (s *Service) dispatchWaiting() {
 	now := time.Now()
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
 	isStopping := s.stopping
 	s.mutex.Unlock()
-	// When all daemons start at once, owners that know nothing of each other
-	// would all place their items into the same room.
+	// Owners that start at the same time and have no reports of each other would send their
+	// items to the same free slots.
 	isSettled := s.backends.HasPeerReports() || !now.Before(s.settledAt)
 	if isStopping || !isSettled || now.Sub(s.dispatchedAt) < dispatchInterval/2 {
 		return
@@ -128,32 +127,32 @@
 	return count
 }
 
-// propagationWindow is the time in which owners do not know of each other's
-// latest decisions: that of the news, and half of it for delays on the way.
+// propagationWindow is the time in which owners may not know of each other's latest
+// decisions: the propagation time, and half of it as a margin for delays.
 func (s *Service) propagationWindow() time.Duration { return s.backends.Propagation() * 3 / 2 }
 
-// dispatch sends one item if a backend has room, or gives it up if its time
-// is over. It reports false when the item goes on waiting.
+// dispatch sends one item if a backend has a free slot, or abandons it if it is malformed or
+// its time is over. It returns false if the item remains waiting.
 func (s *Service) dispatch(waiting *work, now time.Time) bool {
-	held := waiting.owner
+	owner := waiting.owner
 	if waiting.malformed != nil {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
-		s.log.Info("item_abandoned", "job", held.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		s.log.Info("item_abandoned", "job", owner.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
+		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
-	if !held.giveUp.IsZero() && now.After(held.giveUp) {
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+	if !owner.giveUp.IsZero() && now.After(owner.giveUp) {
+		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
-	matched, service, found := s.routeOf(held.job.Host, waiting.item)
+	matched, service, found := s.routeOf(owner.job.Host, waiting.item)
 	if !found {
 		return false // its route is not known here
 	}
-	if s.restQuarantined(waiting, now) || s.placer.isFull(service) {
+	if s.postponeQuarantined(waiting, now) || s.placer.isFull(service) {
 		return false
 	}
-	if !s.placer.hasRoom(service, s.mustRun(waiting, service, now)) {
+	if !s.placer.hasCapacity(service, s.mustRun(waiting, service, now)) {
 		return false
 	}
 	candidates := s.backends.Candidates(service, waiting.item.Prompt, now)
@@ -165,17 +164,17 @@
 	if !found {
 		return false
 	}
-	ctx, cancel := context.WithCancel(held.ctx)
-	held.mutex.Lock()
+	ctx, cancel := context.WithCancel(owner.ctx)
+	owner.mutex.Lock()
 	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isYielding = itemRunning, chosen.ID, now, cancel, false
-	held.mutex.Unlock()
+	owner.mutex.Unlock()
 	permit := func() error {
 		err := s.permit(waiting)
 		if err == nil {
-			number, epoch := held.countSend(waiting)
-			s.log.Info("item_sent", "job", held.job.ID, "item", waiting.item.ID, "backend", chosen.ID, "epoch", epoch, "attempt", number,
-				"kind", string(serving.KindOfSend(number, waiting.progress.last())), "due_ms", held.due.Sub(now).Milliseconds(), "last_event", waiting.progress.last(),
-				"online", chosen.Online, "batch", chosen.Batch, "slots", chosen.Slots, "report_age_ms", shownAge(chosen.ReportAge), "claims_age_ms", shownAge(s.claimsAge()))
+			number, epoch := owner.countSend(waiting)
+			s.log.Info("item_sent", "job", owner.job.ID, "item", waiting.item.ID, "backend", chosen.ID, "epoch", epoch, "attempt", number,
+				"kind", string(serving.KindOfSend(number, waiting.progress.lastID())), "due_ms", owner.due.Sub(now).Milliseconds(), "last_event", waiting.progress.lastID(),
+				"online", chosen.Online, "batch", chosen.Batch, "slots", chosen.Slots, "report_age_ms", ageMillis(chosen.ReportAge), "claims_age_ms", ageMillis(s.claimsAge()))
 		}
 		return err
 	}
@@ -186,8 +185,8 @@
 	return true
 }
 
-// countSend counts an attempt at an item that is about to leave, and returns its number
-// and the epoch of the ownership under which it leaves.
+// countSend counts an attempt at an item that is about to be sent. It returns the attempt's
+// number and the epoch of the claim under which it is sent.
 func (o *owned) countSend(leaving *work) (number int, epoch int64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -195,22 +194,21 @@
 	return leaving.sends, o.claim.claim.Epoch
 }
 
-// restQuarantined has an item that is quarantined wait, and reports whether it
-// is. It takes no part of the room, and is given up when its time is over.
-func (s *Service) restQuarantined(waiting *work, now time.Time) bool {
+// postponeQuarantined postpones an item that is quarantined, and reports whether it is.
+func (s *Service) postponeQuarantined(waiting *work, now time.Time) bool {
 	if s.quarantine == nil {
 		return false
 	}
-	verdict, isHeld := s.quarantine.Verdict(waiting.fingerprint)
-	if !isHeld {
+	verdict, isQuarantined := s.quarantine.Verdict(waiting.fingerprint)
+	if !isQuarantined {
 		return false
 	}
 	waiting.owner.mutex.Lock()
 	waiting.notBefore = now.Add(quarantinedPause)
-	isTold := waiting.isQuarantined
+	wasLogged := waiting.isQuarantined
 	waiting.isQuarantined = true
 	waiting.owner.mutex.Unlock()
-	if isTold {
+	if wasLogged {
 		return true
 	}
 	s.log.Info("item_quarantined", "job", waiting.owner.job.ID, "item", waiting.item.ID, "fingerprint", waiting.fingerprint.String(),
@@ -218,14 +216,15 @@
 	return true
 }
 
-// longestAge stands in logs for all that is older, or was never told.
-const longestAge = time.Hour
+// maxShownAge is logged for greater ages, and for the age of what was never reported.
+const maxShownAge = time.Hour
 
-func shownAge(age time.Duration) int64 { return min(age, longestAge).Milliseconds() }
+// ageMillis returns an age in milliseconds, as it is logged.
+func ageMillis(age time.Duration) int64 { return min(age, maxShownAge).Milliseconds() }
 
-// routeOf returns the job route of an item and the service that the item goes to. The
-// configuration may have given the item's path to a route for online requests since the
-// job was accepted: items may run more than once, such requests may not.
+// routeOf returns the job route of an item and the service that the item goes to. It returns
+// false if the configuration now has a route for online requests at the item's path: items
+// may run more than once, online requests may not.
 func (s *Service) routeOf(host string, item Item) (*route.Route, string, bool) {
 	current := s.holder.Current()
 	if current == nil {
@@ -246,9 +245,8 @@
 	return s.clock.isUrgent(ran, waiting.owner.due.Sub(now))
 }
 
-// yieldItems takes items back from backends that have no slot left for
-// online requests.
-func (s *Service) yieldItems() {
+// preemptExcess preempts items at backends where online requests wait for their slots.
+func (s *Service) preemptExcess() {
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
 	s.mutex.Unlock()
@@ -264,18 +262,18 @@
 			running[item.backend] = append(running[item.backend], runningItem{work: item, isUrgent: s.isUrgent(item, now)})
 		}
 	}
-	for _, candidate := range s.loadsOf(running) {
-		for _, item := range s.itemsToYield(candidate, running[candidate.ID], now, window) {
+	for _, candidate := range s.preemptableLoads(running) {
+		for _, item := range s.itemsToPreempt(candidate, running[candidate.ID], now, window) {
 			s.log.Info("item_yielded", "job", item.owner.job.ID, "item", item.item.ID, "backend", candidate.ID, "urgent", item.isUrgent,
-				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.last())
+				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.lastID())
 			item.yield()
 		}
 	}
 }
 
-// giveWay takes one item back from a backend for an online request that waits
-// there, and leaves its slot alone until all owners have heard of the request.
-func (s *Service) giveWay(id string) {
+// preemptOne preempts one item at a backend where an online request found no slot. No items are
+// sent there until all owners know of the request, and none anywhere for preemptionPause.
+func (s *Service) preemptOne(id string) {
 	now := time.Now()
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
@@ -288,23 +286,23 @@
 			}
 		}
 	}
-	if len(items) > 0 && !s.mustGiveWay(id, now) {
+	if len(items) > 0 && !s.mustPreempt(id, now) {
 		return
 	}
 	s.placer.avoid(id, now.Add(s.propagationWindow()))
-	s.placer.pause(now.Add(givenWayPause))
+	s.placer.pause(now.Add(preemptionPause))
 	if len(items) == 0 {
 		return
 	}
-	sortForYielding(items)
+	sortForPreemption(items)
 	chosen := items[0]
-	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.last())
+	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.lastID())
 	chosen.yield()
 }
 
-// sortForYielding puts those items first that give way first: the ones that are
-// not urgent, and among them those due last.
-func sortForYielding(items []runningItem) {
+// sortForPreemption sorts items by the order in which they are preempted: those that aren't
+// urgent first, and among these the one that is due last.
+func sortForPreemption(items []runningItem) {
 	sort.Slice(items, func(a, b int) bool {
 		if items[a].isUrgent != items[b].isUrgent {
 			return items[b].isUrgent
@@ -313,21 +311,22 @@
 	})
 }
 
-// runningItem is an item at a backend.
+// runningItem is an item that runs at a backend.
 type runningItem struct {
 	*work
 	isUrgent bool
 }
 
-// itemsToYield chooses which of the items at a backend are taken back.
-func (s *Service) itemsToYield(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
+// itemsToPreempt chooses which of the items at a backend are preempted.
+func (s *Service) itemsToPreempt(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
 	count := s.yielder.share(candidate, now, window)
-	sortForYielding(items)
+	sortForPreemption(items)
 	return items[:min(count, len(items))]
 }
 
-// loadsOf returns the load of backends at which items run.
-func (s *Service) loadsOf(running map[string][]runningItem) []routing.Candidate {
+// preemptableLoads returns the load of backends that run items, except for those whose excess
+// isn't due to be acted on.
+func (s *Service) preemptableLoads(running map[string][]runningItem) []routing.Candidate {
 	services := map[string]bool{}
 	for id := range running {
 		if instance, found := s.backends.Get(id); found {
@@ -337,9 +336,9 @@
 	loads := []routing.Candidate{}
 	now := time.Now()
 	for service := range services {
-		isRoomy := s.isRoomy(service, now)
+		hasFreeSlots := s.hasFreeSlots(service, now)
 		for _, candidate := range s.backends.Candidates(service, nil, now) {
-			if len(running[candidate.ID]) > 0 && s.yielder.stands(candidate, isRoomy, now) {
+			if len(running[candidate.ID]) > 0 && s.yielder.isExcessDue(candidate, hasFreeSlots, now) {
 				loads = append(loads, candidate)
 			}
 		}
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -7,64 +7,62 @@
 	"topazpulley/internal/serving"
 )
 
-// claimsAgeLimit is for how long the claims, as this daemon knows them, may not have
-// been the present state while it still starts items. A job that was ended, or taken
-// over, longer ago is known here not to be its own. Behind it lie the way to the backend
-// and a turn of a slow machine: together they stay under the three seconds after
-// which an ended job's items may reach no backend (INVARIANTS). While nothing is wrong
-// the copy is no older than 1.5 s, directly and behind an upstream.
+// claimsAgeLimit is the age of this daemon's copy of the claims above which it starts no
+// items: a job may have been cancelled or taken over meanwhile. Items of a cancelled job
+// must not reach a backend more than three seconds after the cancellation; the limit leaves
+// a second of this for the way to the backend. In normal operation the copy is at most
+// 1.5 s old.
 const claimsAgeLimit = 2 * time.Second
 
-// withheldError tells why an item may not be started now.
-type withheldError struct {
-	reason withheldReason
-	// claimsAge is how old the claims were.
+// permitError says why an item may not be started now.
+type permitError struct {
+	reason    refusalReason
 	claimsAge time.Duration
 }
 
-// withheldReason names a reason to start no items.
-type withheldReason string
+type refusalReason string
 
-// The reasons.
+// Reasons to refuse a permit.
 const (
-	withheldOldClaims withheldReason = "old_claims"
-	withheldDropped   withheldReason = "job_dropped"
-	withheldEnding    withheldReason = "job_ending"
+	refusedOldClaims refusalReason = "old_claims"
+	refusedDropped   refusalReason = "job_dropped"
+	refusedEnding    refusalReason = "job_ending"
 )
 
 // Error implements error.
-func (e *withheldError) Error() string {
-	return "the item is withheld: " + string(e.reason) + ", claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
+func (e *permitError) Error() string {
+	return "permit refused: " + string(e.reason) + ", claims_age_ms=" + strconv.FormatInt(ageMillis(e.claimsAge), 10)
 }
 
-// permit returns an error unless an item may reach a backend now. It is asked when
-// the connection is there, just before the first byte leaves: what was known when the
-// item was placed may be old by then.
-func (s *Service) permit(starting *work) error {
+// permit returns an error unless the item may be sent to a backend now. It is called once
+// the connection is established, before the first byte is written: the state of the job
+// may have changed since the item was placed.
+func (s *Service) permit(item *work) error {
 	age := s.claimsAge()
-	held := starting.owner
-	held.mutex.Lock()
-	isDropped := held.dropped
-	held.mutex.Unlock()
+	owner := item.owner
+	owner.mutex.Lock()
+	isDropped := owner.dropped
+	owner.mutex.Unlock()
 	switch {
 	case isDropped:
-		return withheld(withheldDropped, age)
+		return permitRefused(refusedDropped, age)
 	case age > claimsAgeLimit:
-		return withheld(withheldOldClaims, age)
-	case s.endings.isHeld(held.job.ID):
-		return withheld(withheldEnding, age)
+		return permitRefused(refusedOldClaims, age)
+	case s.endings.isHeld(owner.job.ID):
+		return permitRefused(refusedEnding, age)
 	}
 	return nil
 }
 
-func withheld(reason withheldReason, claimsAge time.Duration) error {
+// permitRefused returns the failure of an attempt that wasn't sent.
+func permitRefused(reason refusalReason, claimsAge time.Duration) error {
 	return &serving.AttemptError{
-		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &withheldError{reason: reason, claimsAge: claimsAge},
+		Outcome: serving.OutcomeNotRun, Reason: serving.ReasonPermitRefused, Cause: &permitError{reason: reason, claimsAge: claimsAge},
 	}
 }
 
-// mayStartItems reports whether the claims are known well enough to start items. It
-// belongs to the dispatcher's goroutine, and logs when that changes.
+// mayStartItems reports whether the copy of the claims is recent enough to start items,
+// and logs each change of this. Only the dispatcher's goroutine calls it.
 func (s *Service) mayStartItems() bool {
 	age := s.claimsAge()
 	isOld := age > claimsAgeLimit
@@ -74,7 +72,7 @@
 		if isOld {
 			event = "claims_too_old"
 		}
-		s.log.Info(event, "claims_age_ms", shownAge(age), "limit_ms", claimsAgeLimit.Milliseconds(), "jobs", s.Owned())
+		s.log.Info(event, "claims_age_ms", ageMillis(age), "limit_ms", claimsAgeLimit.Milliseconds(), "jobs", s.Owned())
 	}
 	return !isOld
 }
--- a/internal/job/takeover.go
+++ b/internal/job/takeover.go
@@ -10,64 +10,64 @@
 
 const (
 	superviseInterval = 200 * time.Millisecond
-	// takeoversAtOnce bounds the jobs that a daemon reads at the same time.
-	takeoversAtOnce = 4
-	// takeoverTries is how often a daemon tries to read a job that it has
-	// claimed before it leaves the job to others, for abstainTime: its link may
-	// be too slow for the job.
-	takeoverTries = 2
-	abstainTime   = 10 * time.Second
+	// maxTakeovers limits the jobs that a daemon takes over at the same time.
+	maxTakeovers = 4
+	// takeoverAttempts is how often a daemon tries to read a job that it has claimed. It then
+	// releases the claim and doesn't claim the job again for abstainTime: its link may be
+	// too slow for the job.
+	takeoverAttempts = 2
+	abstainTime      = 10 * time.Second
 )
 
 // takeovers are the jobs that this daemon takes over. Service.mutex guards it.
 type takeovers struct {
-	underWay map[string]bool
+	active   map[string]bool
 	failures map[string]int
-	// abstained is until when a job is left to other daemons.
-	abstained map[string]time.Time
+	// abstainedUntil is until when a job is left to other daemons.
+	abstainedUntil map[string]time.Time
 }
 
 func newTakeovers() takeovers {
-	return takeovers{underWay: map[string]bool{}, failures: map[string]int{}, abstained: map[string]time.Time{}}
+	return takeovers{active: map[string]bool{}, failures: map[string]int{}, abstainedUntil: map[string]time.Time{}}
 }
 
 // mayBegin reports whether a job may be taken over now.
 func (t *takeovers) mayBegin(id string, now time.Time) bool {
-	return !t.underWay[id] && len(t.underWay) < takeoversAtOnce && !now.Before(t.abstained[id])
+	return !t.active[id] && len(t.active) < maxTakeovers && !now.Before(t.abstainedUntil[id])
 }
 
-// end notes how a takeover ended and reports whether the job should be left to
-// other daemons.
-func (t *takeovers) end(id string, hasFailed bool, now time.Time) bool {
-	delete(t.underWay, id)
+// finish records the end of a takeover, and reports whether the job should be left to other
+// daemons.
+func (t *takeovers) finish(id string, hasFailed bool, now time.Time) bool {
+	delete(t.active, id)
 	if !hasFailed {
 		delete(t.failures, id)
 		return false
 	}
 	t.failures[id]++
-	if t.failures[id] < takeoverTries {
+	if t.failures[id] < takeoverAttempts {
 		return false
 	}
 	delete(t.failures, id)
-	t.abstained[id] = now.Add(abstainTime)
+	t.abstainedUntil[id] = now.Add(abstainTime)
 	return true
 }
 
-// forget drops what is over.
-func (t *takeovers) forget(now time.Time) {
-	for id, until := range t.abstained {
+// expire drops abstentions that are over.
+func (t *takeovers) expire(now time.Time) {
+	for id, until := range t.abstainedUntil {
 		if !now.Before(until) {
-			delete(t.abstained, id)
+			delete(t.abstainedUntil, id)
 		}
 	}
 }
 
-// superviseClaims takes over jobs whose owners are gone.
+// superviseClaims takes over jobs whose owners are gone, until the context ends.
 func (s *Service) superviseClaims(ctx context.Context) {
 	periodic.Run(ctx, superviseInterval, func() {
-		for id, held := range s.orphaned(time.Now()) {
+		for id, orphaned := range s.orphaned(time.Now()) {
 			if s.beginTakeover(id) {
-				go s.takeOver(ctx, id, held)
+				go s.takeOver(ctx, id, orphaned)
 			}
 		}
 	})
@@ -77,19 +77,19 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	s.takeovers.forget(now)
+	s.takeovers.expire(now)
 	if !s.takeovers.mayBegin(id, now) {
 		return false
 	}
-	s.takeovers.underWay[id] = true
+	s.takeovers.active[id] = true
 	return true
 }
 
-// takeOver claims a job and goes on with it.
-func (s *Service) takeOver(ctx context.Context, id string, held versionedClaim) {
-	claimed, err := s.claimOrphan(ctx, id, held)
+// takeOver claims a job, reads it and starts running it.
+func (s *Service) takeOver(ctx context.Context, id string, orphaned versionedClaim) {
+	claimed, err := s.claimOrphan(ctx, id, orphaned)
 	if err != nil {
-		s.log.Info("job_takeover_failed", "job", id, "step", "claim", "owner", held.claim.Owner, "epoch", held.claim.Epoch, "error", err)
+		s.log.Info("job_takeover_failed", "job", id, "step", "claim", "owner", orphaned.claim.Owner, "epoch", orphaned.claim.Epoch, "error", err)
 		s.endTakeover(id, false)
 		return
 	}
@@ -101,32 +101,32 @@
 	}
 	s.log.Info("job_takeover_failed", "job", id, "step", step, "epoch", claimed.claim.Epoch, "error", err)
 	if s.endTakeover(id, true) {
-		s.giveBack(ctx, id, claimed)
+		s.releaseClaim(ctx, id, claimed)
 	}
 }
 
 func (s *Service) endTakeover(id string, hasFailed bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.takeovers.end(id, hasFailed, time.Now())
+	return s.takeovers.finish(id, hasFailed, time.Now())
 }
 
-// claimOrphan makes this daemon the owner, unless an earlier call whose answer
-// was lost did so.
-func (s *Service) claimOrphan(ctx context.Context, id string, held versionedClaim) (versionedClaim, error) {
-	if held.claim.Owner == s.self.Name && held.claim.Incarnation == s.self.Incarnation {
-		return held, nil
+// claimOrphan makes this daemon the owner of a job. If the claim names this daemon already,
+// because an earlier commit took effect without an answer, it is returned as it is.
+func (s *Service) claimOrphan(ctx context.Context, id string, orphaned versionedClaim) (versionedClaim, error) {
+	if orphaned.claim.Owner == s.self.Name && orphaned.claim.Incarnation == s.self.Incarnation {
+		return orphaned, nil
 	}
-	next := s.newClaim(held.claim.Epoch+1, held.claim.Tenant)
-	version, err := s.replaceClaim(ctx, id, held.version, next)
+	next := s.newClaim(orphaned.claim.Epoch+1, orphaned.claim.Tenant)
+	version, err := s.replaceClaim(ctx, id, orphaned.version, next)
 	if err != nil {
 		return versionedClaim{}, err
 	}
-	s.log.Info("job_taken_over", "job", id, "owner_before", held.claim.Owner, "epoch", next.Epoch, "version", version)
+	s.log.Info("job_taken_over", "job", id, "owner_before", orphaned.claim.Owner, "epoch", next.Epoch, "version", version)
 	return versionedClaim{claim: next, version: version}, nil
 }
 
-// replaceClaim sets the claim of a job if it still has the version.
+// replaceClaim replaces the claim of a job if its row still has the version.
 func (s *Service) replaceClaim(ctx context.Context, id string, version table.Version, next claim) (table.Version, error) {
 	value, err := encode(next)
 	if err != nil {
@@ -139,8 +139,8 @@
 	})
 }
 
-// readOrphan reads a job and what earlier owners left of it. The step names what
-// could not be read.
+// readOrphan reads a job with its results and checkpoints. On failure, step names what could
+// not be read.
 func (s *Service) readOrphan(ctx context.Context, id string) (loaded Job, earlier history, step string, err error) {
 	accepted, err := s.acceptance(ctx, id)
 	if err != nil {
@@ -158,13 +158,14 @@
 	return loaded, earlier, "", nil
 }
 
-// giveBack lets another daemon take over a job that this one cannot read.
-func (s *Service) giveBack(ctx context.Context, id string, held versionedClaim) {
-	version, err := s.replaceClaim(ctx, id, held.version, claim{Epoch: held.claim.Epoch, Tenant: held.claim.Tenant})
-	s.log.Info("job_given_back", "job", id, "epoch", held.claim.Epoch, "version", version, "error", err)
+// releaseClaim removes this daemon from the claim of a job that it can't read, so that another
+// one may take the job over.
+func (s *Service) releaseClaim(ctx context.Context, id string, claimed versionedClaim) {
+	version, err := s.replaceClaim(ctx, id, claimed.version, claim{Epoch: claimed.claim.Epoch, Tenant: claimed.claim.Tenant})
+	s.log.Info("job_given_back", "job", id, "epoch", claimed.claim.Epoch, "version", version, "error", err)
 }
 
-// allResults reads everything that is listed of a job.
+// allResults reads all results of a job.
 func (s *Service) allResults(ctx context.Context, id string, total int) ([]Result, error) {
 	all := []Result{}
 	for len(all) < total {
