--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -10,7 +10,7 @@
 )
 
 // Core is the membership state machine of one daemon. It is not safe for
-// concurrent use; Node serializes access.
+// concurrent use; cluster.Node serializes access.
 type Core struct {
 	config  Config
 	self    Member
@@ -20,36 +20,43 @@
 	members    map[string]Member
 	changedAt  map[string]time.Time
 	suspectEnd map[string]time.Time
-	// accused are the members whose suspicion this member raised; it tells
-	// them directly until they refute or die.
-	accused   map[string]bool
-	digest    uint64
+	// ownSuspects holds the suspects whose suspicion this member raised. Each is
+	// notified directly until it refutes the suspicion or is declared dead.
+	ownSuspects map[string]bool
+	// digest is the XOR of hashMember over the live members.
+	digest uint64
+	// liveCount and zoneCount are the live members, this one included: all, and
+	// those of its zone.
 	liveCount int
 	zoneCount int
-	// live, zoneLive and otherLive are the live members other than this one,
-	// in name order: all, those of the zone, and the rest. They are rebuilt
-	// when liveStale is set.
+	// live, zoneLive and otherLive are the live members other than this one, in
+	// name order: all, those of its zone, and those of other zones. They are
+	// rebuilt on the next use after liveStale is set.
 	live, zoneLive, otherLive []Member
 	liveStale                 bool
-	// generation rises with each change of a member.
+	// generation is incremented by each change of a member.
 	generation uint64
 
-	ring       []string
-	ringIndex  int
-	sequence   int64
-	probes     map[int64]*probe
-	relays     map[int64]relay
-	nextProbe  time.Time
-	nextGossip time.Time
-	nextRetry  time.Time
-	nextSync   time.Time
-	lastTick   time.Time
-	startedAt  time.Time
-	gossipTurn int
-	healthLack int
-
-	items     map[string]heldItem
-	queue     map[string]*queued
+	// ring is the shuffled order in which live members are probed.
+	ring        []string
+	ringIndex   int
+	sequence    int64
+	probes      map[int64]*probe
+	relays      map[int64]relay
+	nextProbe   time.Time
+	nextGossip  time.Time
+	nextRetry   time.Time
+	nextSync    time.Time
+	lastTick    time.Time
+	startedAt   time.Time
+	gossipRound int
+	// healthScore rises with each probe that this member sent without an answer
+	// and falls with each answer. It lengthens the probe timeouts.
+	healthScore int
+
+	items map[string]storedItem
+	queue map[string]*queuedUpdate
+	// allowance is how many bytes gossip may send now.
 	allowance float64
 	revision  int64
 	events    []Event
@@ -58,7 +65,7 @@
 	statistics Statistics
 }
 
-// Statistics counts what happened, for metrics and the scale run.
+// Statistics holds counters since the start.
 type Statistics struct {
 	Suspicions  uint64
 	Refutations uint64
@@ -68,39 +75,42 @@
 	BytesSent   uint64
 }
 
-// probe is a ping that waits for its answer.
+// probe is a ping whose answer is outstanding.
 type probe struct {
-	target      string
-	indirectAt  time.Time
-	deadline    time.Time
-	isIndirect  bool
+	target string
+	// indirectAt is when indirect probes are sent; isIndirect is set then.
+	indirectAt time.Time
+	deadline   time.Time
+	isIndirect bool
+	// isReconnect marks a ping to a dead member or a seed. Its timeout raises
+	// no suspicion.
 	isReconnect bool
 }
 
-// relay remembers for whom this member probes.
+// relay is a ping sent on behalf of another member, to which the answer is forwarded.
 type relay struct {
 	requester string
 	sequence  int64
 	deadline  time.Time
 }
 
-const maxHealthLack = 4
+const maxHealthScore = 4
 
-// New returns a core that knows only itself. The member's incarnation must be
-// higher than in any earlier life of the same name.
+// New returns a core whose only member is self. self.Incarnation must be higher
+// than at any earlier start under the same name.
 func New(config Config, self Member, random *rand.Rand, now time.Time) *Core {
 	core := &Core{
 		config: config, self: self, random: random,
-		members:    map[string]Member{},
-		changedAt:  map[string]time.Time{},
-		suspectEnd: map[string]time.Time{},
-		accused:    map[string]bool{},
-		probes:     map[int64]*probe{},
-		relays:     map[int64]relay{},
-		items:      map[string]heldItem{},
-		queue:      map[string]*queued{},
-		lastTick:   now,
-		startedAt:  now,
+		members:     map[string]Member{},
+		changedAt:   map[string]time.Time{},
+		suspectEnd:  map[string]time.Time{},
+		ownSuspects: map[string]bool{},
+		probes:      map[int64]*probe{},
+		relays:      map[int64]relay{},
+		items:       map[string]storedItem{},
+		queue:       map[string]*queuedUpdate{},
+		lastTick:    now,
+		startedAt:   now,
 	}
 	core.nextProbe = now.Add(core.jitter(config.ProbeInterval))
 	core.nextGossip = now.Add(core.jitter(config.GossipInterval))
@@ -110,24 +120,25 @@
 	return core
 }
 
+// jitter returns a random duration from 0 to interval.
 func (c *Core) jitter(interval time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(interval) + 1))
 }
 
-// SetSeeds replaces the addresses that are tried while no member is known or
-// after members were lost.
+// SetSeeds replaces the addresses that are pinged to join the fleet, or to find
+// members that were lost.
 func (c *Core) SetSeeds(addresses []string) { c.seeds = addresses }
 
-// SetRevision records the applied configuration revision that packets carry.
+// SetRevision sets the applied configuration revision that packets carry. A
+// lower revision is ignored.
 func (c *Core) SetRevision(revision int64) { c.revision = max(c.revision, revision) }
 
-// Self returns the member itself.
+// Self returns this daemon's member.
 func (c *Core) Self() Member { return c.self }
 
-// Statistics returns the counters.
 func (c *Core) Statistics() Statistics { return c.statistics }
 
-// Members returns all live members, itself included, in name order.
+// Members returns all live members, this one included, in name order.
 func (c *Core) Members() []Member {
 	c.refreshLive()
 	members := make([]Member, 0, len(c.live)+1)
@@ -139,7 +150,7 @@
 	return append(members, c.live[position:]...)
 }
 
-// Count returns how many members are live, itself included.
+// Count returns the number of live members, this one included.
 func (c *Core) Count() int {
 	c.refreshLive()
 	if c.self.Live() {
@@ -148,7 +159,7 @@
 	return len(c.live)
 }
 
-// refreshLive rebuilds the lists of live members after a change.
+// refreshLive rebuilds the lists of live members if a member changed.
 func (c *Core) refreshLive() {
 	if !c.liveStale {
 		return
@@ -170,23 +181,23 @@
 	}
 }
 
-// Generation rises with each change of a member. It is never 0.
+// Generation returns a number that each change of a member increments. It is never 0.
 func (c *Core) Generation() uint64 { return c.generation }
 
-// Member returns what is known of a name.
+// Member returns the member with a name, live or not.
 func (c *Core) Member(name string) (Member, bool) {
 	member, known := c.members[name]
 	return member, known
 }
 
-// TakeEvents returns the events since the last call.
+// TakeEvents returns and clears the events since the last call.
 func (c *Core) TakeEvents() []Event {
 	taken := c.events
 	c.events = nil
 	return taken
 }
 
-// setMember stores a member and keeps the digest and counts.
+// setMember stores a member and updates the digest and the counts.
 func (c *Core) setMember(member Member, now time.Time) {
 	if old, known := c.members[member.Name]; known && old.Live() {
 		c.digest ^= hashMember(old)
@@ -209,14 +220,14 @@
 	}
 }
 
-// apply merges an update and passes it on if it was news.
+// apply merges an update and queues it for gossip if it changed the member.
 func (c *Core) apply(update Member, now time.Time) {
 	if c.merge(update, now) {
 		c.enqueueMember(update)
 	}
 }
 
-// merge takes an update over and reports whether it was news.
+// merge merges an update and reports whether it changed the member.
 func (c *Core) merge(update Member, now time.Time) bool {
 	if update.Name == c.self.Name {
 		c.refute(update, now)
@@ -229,7 +240,7 @@
 	c.setMember(update, now)
 	delete(c.suspectEnd, update.Name)
 	if update.State != StateSuspect {
-		delete(c.accused, update.Name)
+		delete(c.ownSuspects, update.Name)
 	}
 	if update.State == StateSuspect {
 		c.suspectEnd[update.Name] = now.Add(c.suspicionTimeout())
@@ -240,11 +251,13 @@
 	return true
 }
 
-// refute answers a claim about this member that is not true any more.
+// refute overrides an update about this member that is wrong: one of a newer
+// incarnation, or of the current one with a state other than alive. It raises
+// the incarnation and gossips it.
 func (c *Core) refute(claim Member, now time.Time) {
-	isNewer := claim.Incarnation > c.self.Incarnation
-	isFalse := claim.Incarnation == c.self.Incarnation && claim.State != StateAlive
-	if c.leaving || !(isNewer || isFalse) {
+	isNewerIncarnation := claim.Incarnation > c.self.Incarnation
+	isWrongState := claim.Incarnation == c.self.Incarnation && claim.State != StateAlive
+	if c.leaving || !(isNewerIncarnation || isWrongState) {
 		return
 	}
 	c.self.Incarnation = claim.Incarnation + 1
@@ -253,12 +266,15 @@
 	c.enqueueMember(c.self)
 }
 
+// suspicionTimeout is how long a suspect may refute. It grows with the logarithm
+// of the fleet's size.
 func (c *Core) suspicionTimeout() time.Duration {
 	scale := math.Max(1, math.Log10(float64(max(c.liveCount, 1))))
 	return time.Duration(c.config.SuspicionFactor * scale * float64(c.config.ProbeInterval))
 }
 
-// Leave announces a graceful departure to several members at once.
+// Leave returns datagrams that announce a graceful departure to leaveFanout
+// random members.
 func (c *Core) Leave(now time.Time) []Datagram {
 	c.leaving = true
 	c.self.State = StateLeft
@@ -273,22 +289,23 @@
 
 const leaveFanout = 8
 
-// Tick advances time: it starts probes, judges late ones and gossips. It must
-// be called several times per gossip interval.
+// Tick advances the time: it starts probes, handles probes and suspicions whose
+// deadline has passed, and gossips. It must be called several times per gossip
+// interval.
 func (c *Core) Tick(now time.Time) []Datagram {
-	c.notePause(now)
-	out := c.judgeProbes(now)
+	c.compensatePause(now)
+	out := c.checkProbes(now)
 	c.expireSuspects(now)
 	c.expireRelays(now)
 	if !now.Before(c.nextProbe) {
 		c.nextProbe = now.Add(c.config.ProbeInterval)
 		out = append(out, c.startProbe(now)...)
-		out = append(out, c.tellAccused()...)
+		out = append(out, c.notifySuspects()...)
 	}
 	if !now.Before(c.nextRetry) {
 		c.nextRetry = now.Add(c.reconnectInterval(now))
 		out = append(out, c.reconnect(now)...)
-		c.forget(now)
+		c.dropExpired(now)
 	}
 	if !now.Before(c.nextGossip) {
 		c.refill(now.Sub(c.nextGossip) + c.config.GossipInterval)
@@ -298,8 +315,9 @@
 	return out
 }
 
-// forget drops members that have been gone for longer than the retention.
-func (c *Core) forget(now time.Time) {
+// dropExpired removes members that have been dead for longer than the retention, and
+// expired items.
+func (c *Core) dropExpired(now time.Time) {
 	for name, member := range c.members {
 		if !member.Live() && now.Sub(c.changedAt[name]) > c.config.Retention {
 			delete(c.members, name)
@@ -311,7 +329,7 @@
 	c.expireItems(now)
 }
 
-// Receive handles a packet and returns the answers.
+// Receive handles a packet and returns the datagrams to send in answer.
 func (c *Core) Receive(now time.Time, packet Packet) []Datagram {
 	if c.leaving && packet.Kind != PacketPing {
 		return nil
@@ -322,7 +340,7 @@
 	for _, item := range packet.Items {
 		c.applyItem(item, now)
 	}
-	c.noteRevision(packet)
+	c.compareRevision(packet)
 	switch packet.Kind {
 	case PacketPing:
 		return c.answerPing(now, packet)
@@ -338,15 +356,16 @@
 	return nil
 }
 
-func (c *Core) noteRevision(packet Packet) {
+// compareRevision emits an event if the sender applied a higher revision.
+func (c *Core) compareRevision(packet Packet) {
 	if packet.Revision > c.revision {
 		c.events = append(c.events, Event{Kind: EventRevision, Address: packet.FromAddress, Revision: packet.Revision})
 	}
 }
 
-// compareDigest asks for a full exchange when the lists differ, at most once
-// per sync interval. A differing digest soon after a change is usual while the
-// change spreads; the exchange then finds little to do.
+// compareDigest requests a full exchange if the sender's digests differ from this
+// member's, at most once per sync interval. Digests also differ while a change
+// spreads by gossip; such an exchange carries little.
 func (c *Core) compareDigest(now time.Time, packet Packet) {
 	sender, isKnown := c.members[packet.From]
 	isSame := packet.Digest == int64(c.digest)
@@ -361,43 +380,47 @@
 	c.events = append(c.events, Event{Kind: EventSync, Address: packet.FromAddress})
 }
 
-// isYoung reports whether the member is in the first moments of its life.
-func (c *Core) isYoung(now time.Time) bool {
-	return now.Sub(c.startedAt) < youthProbes*c.config.ProbeInterval
+// isStarting reports whether this member started less than startupProbes probe
+// intervals ago.
+func (c *Core) isStarting(now time.Time) bool {
+	return now.Sub(c.startedAt) < startupProbes*c.config.ProbeInterval
 }
 
-// isJoining reports whether the member has just started and has found nobody yet.
-func (c *Core) isJoining(now time.Time) bool { return c.liveCount <= 1 && c.isYoung(now) }
+// isJoining reports whether this member has just started and knows no other live member.
+func (c *Core) isJoining(now time.Time) bool { return c.liveCount <= 1 && c.isStarting(now) }
 
-// reconnectInterval is short while the member joins: it is of little use to
-// others, and they to it, before they know of each other.
+// reconnectInterval is the time between two rounds of pings to seeds and dead
+// members. It is shorter while this member joins.
 func (c *Core) reconnectInterval(now time.Time) time.Duration {
 	if c.isJoining(now) {
-		return c.config.ProbeInterval / joinsPerProbe
+		return c.config.ProbeInterval / joinRoundsPerProbe
 	}
 	return c.config.ReconnectInterval
 }
 
 const (
-	// joinsPerProbe is how often a member that joins pings seeds within a probe
-	// interval, and joinSeeds how many each time.
-	joinsPerProbe = 5
-	joinSeeds     = 3
+	// joinRoundsPerProbe is the number of rounds per probe interval in which a joining
+	// member pings seeds.
+	joinRoundsPerProbe = 5
+	// joinSeeds is the number of seeds pinged in each of these rounds.
+	joinSeeds = 3
 )
 
-// syncInterval is short in the first moments of a member's life: a fleet whose
-// members all start at once should know itself within seconds.
+// syncInterval is the least time between two full exchanges. It is shorter after
+// the start, so that a fleet whose members all start at once converges within
+// seconds.
 func (c *Core) syncInterval(now time.Time) time.Duration {
-	if c.isYoung(now) {
+	if c.isStarting(now) {
 		return c.config.ProbeInterval / 2
 	}
 	return c.config.SyncInterval
 }
 
-// youthProbes is how many probe intervals the first moments last.
-const youthProbes = 16
+// startupProbes is the length of the startup phase in probe intervals.
+const startupProbes = 16
 
-// randomMembers picks live members other than itself, each at most once.
+// randomMembers picks up to count distinct live members other than this one and
+// except.
 func (c *Core) randomMembers(count int, except string) []Member {
 	c.refreshLive()
 	picked := []Member{}
@@ -412,7 +435,7 @@
 	return picked
 }
 
-// randomDead picks a member that is believed dead.
+// randomDead picks a member in the state dead.
 func (c *Core) randomDead() (Member, bool) {
 	dead := []Member{}
 	for _, member := range c.members {
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -24,9 +24,9 @@
 	return membership.Packet{Kind: membership.PacketGossip, From: from, FromAddress: from, Members: updates}
 }
 
-// TestOrderOfUpdatesDoesNotMatter: any order of the same updates gives the
-// same state, and no state ever gives way to an older one.
-func TestOrderOfUpdatesDoesNotMatter(t *testing.T) {
+// TestUpdateOrderDoesNotMatter checks that any order of the same updates gives
+// the same state, and that an older state never replaces a newer one.
+func TestUpdateOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		updates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) membership.Member {
@@ -58,8 +58,8 @@
 	return list
 }
 
-// TestItemsConverge: members that hear the same items in any order, duplicated
-// or not, hold the same ones, also when two publishers chose one version.
+// TestItemsConverge checks that members which receive the same items in any order
+// store the same ones, also when two publishers chose the same version.
 func TestItemsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -90,7 +90,7 @@
 	require.Equal(t, membership.StateAlive, core.Self().State)
 }
 
-func TestItemsOfOtherZonesAreNotKept(t *testing.T) {
+func TestItemsOfOtherZonesAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newCore("a", now)
 	core.Receive(now, membership.Packet{Kind: membership.PacketGossip, Items: []membership.Item{{Key: "k", Version: 1, Zone: "elsewhere"}}})
@@ -98,9 +98,9 @@
 	require.False(t, known)
 }
 
-// TestGossipStaysWithinItsBytes: however much is published, gossip sends no
-// more than its bound allows.
-func TestGossipStaysWithinItsBytes(t *testing.T) {
+// TestGossipStaysWithinByteLimit checks that gossip does not exceed BytesPerSecond
+// when more is published.
+func TestGossipStaysWithinByteLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	config := membership.DefaultConfig(time.Second)
 	core := membership.New(config, member("a", 1, membership.StateAlive), rand.New(rand.NewPCG(1, 2)), now)
@@ -109,7 +109,7 @@
 	gossiped := 0
 	for step := range seconds * 20 {
 		now = now.Add(50 * time.Millisecond)
-		// The other member lives on, or there would be nobody to gossip to.
+		// The update keeps the other member alive.
 		core.Receive(now, gossip("b", member("b", int64(step+2), membership.StateAlive)))
 		core.Publish(membership.Item{Key: fmt.Sprint(step % 200), Priority: membership.PriorityLoad, Payload: make([]byte, 100)}, now)
 		for _, datagram := range core.Tick(now) {
@@ -124,9 +124,9 @@
 	require.Positive(t, gossiped)
 }
 
-// TestPausedMemberWaitsForItsOwnAnswers: a member that was stopped right after
-// it sent a probe does not take its own absence for the other's.
-func TestPausedMemberWaitsForItsOwnAnswers(t *testing.T) {
+// TestPauseRaisesNoSuspicion checks that a process which is paused after
+// it sent a probe does not suspect the target when it resumes.
+func TestPauseRaisesNoSuspicion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newCore("a", now)
 	core.Receive(now, gossip("x", member("b", 1, membership.StateAlive)))
@@ -141,16 +141,17 @@
 	}
 	now = now.Add(30 * time.Second)
 	core.Tick(now)
-	held, _ := core.Member("b")
-	require.Equal(t, membership.StateAlive, held.State)
+	target, _ := core.Member("b")
+	require.Equal(t, membership.StateAlive, target.State)
 	core.Receive(now, membership.Packet{Kind: membership.PacketAck, From: "b", FromAddress: "b", Sequence: ping.Sequence})
 	core.Tick(now.Add(50 * time.Millisecond))
 	require.Zero(t, core.Statistics().Suspicions)
 }
 
-// TestJoiningMemberAsksSeveralSeedsAtOnce and again within a tenth of a second;
-// one that has found others, or has been alone for long, asks one now and then.
-func TestJoiningMemberAsksSeveralSeedsAtOnce(t *testing.T) {
+// TestJoiningMemberPingsSeveralSeeds checks that a joining member pings several
+// seeds in each of its short reconnect intervals, and that a member which has joined,
+// or has been alone for a minute, pings few.
+func TestJoiningMemberPingsSeveralSeeds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pings := func(core *membership.Core, from time.Time, length time.Duration) int {
 		count := 0
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -7,34 +7,38 @@
 	"time"
 )
 
-// heldItem is an item with the time it was last refreshed.
-type heldItem struct {
+// storedItem is an item with the time at which its newest version arrived.
+type storedItem struct {
 	item      Item
 	refreshed time.Time
 }
 
-// queued is an update that still has to be passed on.
-type queued struct {
-	key       string
-	isItem    bool
-	member    Member
-	item      Item
-	priority  Priority
+// queuedUpdate is an update that gossip still has to send.
+type queuedUpdate struct {
+	key      string
+	isItem   bool
+	member   Member
+	item     Item
+	priority Priority
+	// transmits is how often the update was sent; it is dropped at limit.
 	transmits int
 	limit     int
-	size      int
+	// size is in bytes.
+	size int
 }
 
-// Sizes on the wire, estimated for the byte budget.
+// Sizes on the wire in bytes, estimated for the gossip limit.
 const (
+	// IP and UDP headers; protocol version and authentication code.
 	datagramOverhead  = 28 + 17
 	packetHeaderBytes = 48
 	memberFixedBytes  = 14
 	itemFixedBytes    = 12
-	// loadRetransmits is how often one member passes a load item on; a lost
-	// one is made good by the next refresh.
+	// loadRetransmits is the most often that one member sends a load item. The
+	// next refresh replaces a lost one.
 	loadRetransmits = 2
-	// durableTTLFactor is how much longer than load items others live.
+	// durableTTLFactor is the time to live of durable items, in times of that of
+	// load items.
 	durableTTLFactor = 20
 )
 
@@ -52,7 +56,7 @@
 	if member.State == StateLeft {
 		priority = PriorityUrgent
 	}
-	c.queue[key] = &queued{key: key, member: member, priority: priority, limit: c.retransmits(c.liveCount), size: memberSize(member)}
+	c.queue[key] = &queuedUpdate{key: key, member: member, priority: priority, limit: c.retransmits(c.liveCount), size: memberSize(member)}
 }
 
 func (c *Core) enqueueItem(item Item) {
@@ -65,70 +69,74 @@
 		limit = min(limit, loadRetransmits)
 	}
 	key := "item/" + item.Key
-	c.queue[key] = &queued{key: key, isItem: true, item: item, priority: item.Priority, limit: limit, size: itemSize(item)}
+	c.queue[key] = &queuedUpdate{key: key, isItem: true, item: item, priority: item.Priority, limit: limit, size: itemSize(item)}
 }
 
+// retransmits is how often a member sends an update to an audience of a size.
 func (c *Core) retransmits(audience int) int {
 	return int(math.Ceil(c.config.RetransmitFactor * math.Log10(float64(audience+1))))
 }
 
-// Publish stores an item under the next version of its key and spreads it. The
-// publisher gets the event that every other member gets.
+// Publish stores an item with the next version of its key and gossips it. It
+// emits EventItem here as on every other member.
 func (c *Core) Publish(item Item, now time.Time) {
 	item.Version = max(c.items[item.Key].item.Version+1, now.UnixMilli())
 	c.applyItem(item, now)
 }
 
-// Item returns the newest known item of a key.
+// Item returns the newest item of a key.
 func (c *Core) Item(key string) (Item, bool) {
-	held, known := c.items[key]
-	return held.item, known
+	stored, known := c.items[key]
+	return stored.item, known
 }
 
-// Items returns all items that accept chooses, in key order.
+// Items returns all items whose key accept returns true for, in key order.
 func (c *Core) Items(accept func(key string) bool) []Item {
 	chosen := []Item{}
-	for key, held := range c.items {
+	for key, stored := range c.items {
 		if accept(key) {
-			chosen = append(chosen, held.item)
+			chosen = append(chosen, stored.item)
 		}
 	}
 	sort.Slice(chosen, func(a, b int) bool { return chosen[a].Key < chosen[b].Key })
 	return chosen
 }
 
-// supersedes orders items by version; two publishers that chose the same
-// version are ordered by payload, so that all members agree.
-func (i Item) supersedes(held Item) bool {
-	if i.Version != held.Version {
-		return i.Version > held.Version
+// supersedes reports whether the item replaces another of its key: by version, or
+// by payload if two publishers chose the same version, so that all members agree.
+func (i Item) supersedes(stored Item) bool {
+	if i.Version != stored.Version {
+		return i.Version > stored.Version
 	}
-	return bytes.Compare(i.Payload, held.Payload) > 0
+	return bytes.Compare(i.Payload, stored.Payload) > 0
 }
 
+// applyItem stores an item and queues it for gossip if it is newer than the stored
+// one. Items of other zones are ignored.
 func (c *Core) applyItem(item Item, now time.Time) {
 	if item.Zone != "" && item.Zone != c.self.Zone {
 		return
 	}
-	held, known := c.items[item.Key]
-	if known && !item.supersedes(held.item) {
+	stored, known := c.items[item.Key]
+	if known && !item.supersedes(stored.item) {
 		return
 	}
-	c.items[item.Key] = heldItem{item: item, refreshed: now}
+	c.items[item.Key] = storedItem{item: item, refreshed: now}
 	c.enqueueItem(item)
 	c.events = append(c.events, Event{Kind: EventItem, Item: item})
 }
 
 func (c *Core) expireItems(now time.Time) {
-	for key, held := range c.items {
-		if now.Sub(held.refreshed) > c.itemTTL(held.item) {
+	for key, stored := range c.items {
+		if now.Sub(stored.refreshed) > c.itemTTL(stored.item) {
 			delete(c.items, key)
 			delete(c.queue, "item/"+key)
 		}
 	}
 }
 
-// itemTTL is long for items that change seldom and are refreshed seldom.
+// itemTTL is how long an item is stored without a refresh. Durable items change and
+// are refreshed seldom.
 func (c *Core) itemTTL(item Item) time.Duration {
 	if item.Priority == PriorityLoad {
 		return c.config.ItemTTL
@@ -136,21 +144,22 @@
 	return c.config.ItemTTL * durableTTLFactor
 }
 
+// refill adds to the bytes that gossip may send, up to those of one second.
 func (c *Core) refill(elapsed time.Duration) {
 	c.allowance += c.config.BytesPerSecond * elapsed.Seconds()
 	c.allowance = math.Min(c.allowance, c.config.BytesPerSecond)
 }
 
-// gossip sends pending updates to one member of the zone and, every other
-// round, those for everyone to one member of another zone.
+// gossip sends queued updates to one member of the zone and, every other round,
+// those that are not limited to a zone to one member of another zone.
 func (c *Core) gossip() []Datagram {
 	if len(c.queue) == 0 {
 		return nil
 	}
-	c.gossipTurn++
+	c.gossipRound++
 	c.refreshLive()
 	out := c.gossipTo(c.zoneLive)
-	if c.gossipTurn%2 == 0 {
+	if c.gossipRound%2 == 0 {
 		out = append(out, c.gossipTo(c.otherLive)...)
 	}
 	return out
@@ -169,12 +178,12 @@
 	return []Datagram{datagram}
 }
 
-// Hint makes a datagram that carries one item directly to a member, outside
-// gossip.
+// Hint returns a datagram that carries one item directly to a member. The item
+// is also stored and gossiped by the receiver.
 func (c *Core) Hint(address string, item Item) Datagram {
 	packet := c.packet(PacketHint, 0)
 	packet.Items = []Item{item}
-	return c.count(Datagram{Address: address, Packet: packet})
+	return c.countSent(Datagram{Address: address, Packet: packet})
 }
 
 func (c *Core) packet(kind PacketKind, sequence int64) Packet {
@@ -188,23 +197,24 @@
 	return packet
 }
 
-// send fills a packet with the most urgent updates that fit the bound and
-// that concern the receiver's zone.
-func (c *Core) send(address string, packet Packet, bound int, zone string) Datagram {
-	if bound > 0 && len(c.queue) > 0 {
-		c.fill(&packet, bound, zone)
+// send returns a datagram to an address. If maxBytes is positive, the packet is
+// filled with the most urgent updates for the receiver's zone that fit.
+func (c *Core) send(address string, packet Packet, maxBytes int, zone string) Datagram {
+	if maxBytes > 0 && len(c.queue) > 0 {
+		c.fill(&packet, maxBytes, zone)
 	}
-	return c.count(Datagram{Address: address, Packet: packet})
+	return c.countSent(Datagram{Address: address, Packet: packet})
 }
 
-func (c *Core) count(datagram Datagram) Datagram {
+func (c *Core) countSent(datagram Datagram) Datagram {
 	c.statistics.PacketsSent++
 	c.statistics.BytesSent += uint64(packetSize(datagram.Packet))
 	return datagram
 }
 
-func (c *Core) fill(packet *Packet, bound int, zone string) {
-	pending := make([]*queued, 0, len(c.queue))
+// fill adds queued updates to a packet: by priority, then the least sent first.
+func (c *Core) fill(packet *Packet, maxBytes int, zone string) {
+	pending := make([]*queuedUpdate, 0, len(c.queue))
 	for _, update := range c.queue {
 		if !update.isItem || update.item.Zone == "" || update.item.Zone == zone {
 			pending = append(pending, update)
@@ -219,17 +229,18 @@
 		}
 		return pending[a].key < pending[b].key
 	})
-	room := bound - packetHeaderBytes
+	remaining := maxBytes - packetHeaderBytes
 	for _, update := range pending {
-		if update.size > room {
+		if update.size > remaining {
 			continue
 		}
-		room -= update.size
-		c.take(packet, update)
+		remaining -= update.size
+		c.appendUpdate(packet, update)
 	}
 }
 
-func (c *Core) take(packet *Packet, update *queued) {
+// take adds an update to a packet and drops it from the queue at its limit.
+func (c *Core) appendUpdate(packet *Packet, update *queuedUpdate) {
 	if update.isItem {
 		packet.Items = append(packet.Items, update.item)
 	} else {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,10 +1,11 @@
-// Package membership keeps the list of live daemons by the SWIM protocol
+// Package membership maintains the list of live daemons with the SWIM protocol
 // (probe, indirect probe, suspicion with incarnations, graceful leave) and
-// spreads small versioned items by gossip within a bound of bytes a second.
+// gossips small versioned items within a limit of bytes per second.
 //
-// Core is pure: it has no sockets, clock or goroutines. The caller passes the
-// time, sends the datagrams that Core returns and performs the full
-// exchanges that Core asks for. Nothing in the system's safety rests on it.
+// Core has no sockets, clock or goroutines. The caller passes the time, sends
+// the datagrams that Core returns and performs the full exchanges that Core
+// requests by EventSync. The list is eventually consistent: correctness must not
+// depend on it.
 package membership
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is a member's state as another member sees it.
+// State is a member's state in the list of another member.
 type State uint8
 
 // The states. At one incarnation, a higher state supersedes a lower one.
@@ -44,15 +45,15 @@
 	HTTPAddress string
 	Zone        string
 	Region      string
-	// Incarnation rises when a member restarts or refutes a suspicion.
+	// Incarnation is raised when a member restarts or refutes a suspicion.
 	Incarnation int64
 	State       State
 }
 
-// Live reports whether the member takes part: alive or merely suspected.
+// Live reports whether the member is alive or suspected.
 func (m Member) Live() bool { return m.State == StateAlive || m.State == StateSuspect }
 
-// supersedes reports whether an update replaces what is known.
+// supersedes reports whether an update replaces the known state.
 func (m Member) supersedes(known Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
@@ -60,10 +61,11 @@
 	return m.State > known.State
 }
 
-// Priority orders what gossip spreads first.
+// Priority orders updates in gossip.
 type Priority uint8
 
-// The priorities, the most urgent first.
+// The priorities, the most urgent first. PriorityLoad marks items that are
+// republished often; items of the other priorities are durable.
 const (
 	PriorityUrgent Priority = iota
 	PriorityMember
@@ -71,12 +73,12 @@
 	PriorityLoad
 )
 
-// Item is a small versioned value that gossip spreads. The highest version of
+// Item is a small versioned value that gossip distributes. The highest version of
 // a key wins.
 type Item struct {
 	Key     string
 	Version int64
-	// Zone limits the item to the members of one zone; empty means everywhere.
+	// Zone limits the item to the members of one zone; empty means all zones.
 	Zone     string
 	Priority Priority
 	Payload  []byte
@@ -98,18 +100,20 @@
 type Packet struct {
 	Kind PacketKind
 	From string
-	// FromAddress is where to answer.
+	// FromAddress is the address for answers.
 	FromAddress string
-	Sequence    int64
-	// Target names who must answer a ping; a reused address does not.
+	// Sequence matches an acknowledgement to its ping.
+	Sequence int64
+	// Target is the name of the member that a ping is for. Another member that
+	// reuses its address ignores the ping.
 	Target        string
 	TargetAddress string
 	// Revision is the highest configuration revision that the sender applied.
 	Revision int64
 	// Digest summarizes the sender's list of live members.
 	Digest int64
-	// ItemDigest summarizes the durable items that the sender holds for its
-	// zone; only members of that zone compare it.
+	// ItemDigest summarizes the durable items that the sender stores for its
+	// zone. Only members of that zone compare it.
 	ItemDigest int64
 	Members    []Member
 	Items      []Item
@@ -126,19 +130,19 @@
 
 // The kinds of event.
 const (
-	// EventMember tells that a member's state changed.
+	// EventMember reports that a member's state changed.
 	EventMember EventKind = iota
-	// EventItem tells that an item's version rose.
+	// EventItem reports a new version of an item.
 	EventItem
-	// EventSync asks for a full exchange with the member at Address.
+	// EventSync requests a full exchange with the member at Address.
 	EventSync
-	// EventRevision tells that the member at Address has a higher revision.
+	// EventRevision reports that the member at Address has a higher revision.
 	EventRevision
-	// EventHint delivers a direct hint.
+	// EventHint delivers an item that was sent directly with Hint.
 	EventHint
 )
 
-// Event is something that the daemon must react to.
+// Event is a change or request that the daemon has to handle.
 type Event struct {
 	Kind     EventKind
 	Member   Member
@@ -149,38 +153,40 @@
 
 // Config holds the protocol's parameters.
 type Config struct {
-	// ProbeInterval is the time between two probes by one member.
+	// ProbeInterval is the time between two probes that one member starts.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the wait for a direct answer before indirect probes.
+	// ProbeTimeout is how long a direct answer may take before indirect probes
+	// are sent.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of members asked to probe on one's behalf.
+	// IndirectProbes is the number of members that send an indirect probe.
 	IndirectProbes int
-	// SuspicionFactor times log10 of the group's size, at least 1, is the
-	// number of probe intervals that a suspect has to refute.
+	// SuspicionFactor times max(1, log10(live members)) is the number of probe
+	// intervals in which a suspect may refute.
 	SuspicionFactor float64
 	// GossipInterval is the time between two gossip rounds.
 	GossipInterval time.Duration
-	// BytesPerSecond bounds what gossip sends; probes come on top.
+	// BytesPerSecond limits gossip. Probes are not counted.
 	BytesPerSecond float64
-	// MaxPacketBytes bounds one datagram.
+	// MaxPacketBytes limits one datagram.
 	MaxPacketBytes int
-	// PiggybackBytes bounds the updates carried by a probe or its answer.
+	// PiggybackBytes limits a probe or its answer with the updates it carries.
 	PiggybackBytes int
-	// RetransmitFactor times log10 of the audience's size is how often a
-	// member passes an update on.
+	// RetransmitFactor times log10(members in the audience + 1) is how often a
+	// member sends an update.
 	RetransmitFactor float64
 	// SyncInterval is the least time between two full exchanges that one
 	// member starts.
 	SyncInterval time.Duration
 	// ReconnectInterval is the time between two probes of dead members.
 	ReconnectInterval time.Duration
-	// Retention is how long dead members are remembered.
+	// Retention is how long dead members stay in the list.
 	Retention time.Duration
-	// ItemTTL removes items that are not refreshed.
+	// ItemTTL is how long a load item is stored without a refresh. Durable items
+	// are stored durableTTLFactor times as long.
 	ItemTTL time.Duration
 }
 
-// DefaultConfig returns parameters for a probe interval.
+// DefaultConfig returns the default parameters for a probe interval.
 func DefaultConfig(probeInterval time.Duration) Config {
 	return Config{
 		ProbeInterval:     probeInterval,
@@ -199,9 +205,9 @@
 	}
 }
 
-// hashMember mixes a member's identity, incarnation and state into a digest.
-// Digests are XORs of these, so every input must change the whole value: with a
-// weaker mix, two members that changed in the same way cancel each other out.
+// hashMember hashes a member's name, incarnation and state. Digests are XORs of
+// these hashes, so each input has to change all bits: with a weak hash, the same
+// change of two members could cancel out.
 func hashMember(member Member) uint64 {
 	return mix(xxhash.Sum64String(member.Name) + uint64(member.Incarnation)*mixIncarnation + uint64(member.State)*mixState)
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -4,46 +4,48 @@
 	"time"
 )
 
-// notePause shifts every deadline when the process itself was stopped, so
-// that a resumed member does not blame others for its own absence.
-func (c *Core) notePause(now time.Time) {
+// compensatePause moves every deadline by the length of a pause of this process, so that
+// a resumed process does not suspect members that answered meanwhile.
+func (c *Core) compensatePause(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
 	if gap < c.config.ProbeTimeout {
 		return
 	}
 	c.statistics.Pauses++
-	for _, waiting := range c.probes {
-		waiting.indirectAt = waiting.indirectAt.Add(gap)
-		waiting.deadline = waiting.deadline.Add(gap)
+	for _, pending := range c.probes {
+		pending.indirectAt = pending.indirectAt.Add(gap)
+		pending.deadline = pending.deadline.Add(gap)
 	}
 	for name, end := range c.suspectEnd {
 		c.suspectEnd[name] = end.Add(gap)
 	}
 }
 
-func (c *Core) judgeProbes(now time.Time) []Datagram {
+// checkProbes sends indirect probes for direct ones without an answer and suspects
+// the targets of those past their deadline.
+func (c *Core) checkProbes(now time.Time) []Datagram {
 	out := []Datagram{}
-	for sequence, waiting := range c.probes {
-		if !waiting.isIndirect && !waiting.isReconnect && !now.Before(waiting.indirectAt) {
-			waiting.isIndirect = true
-			out = append(out, c.askIndirect(sequence, waiting)...)
+	for sequence, pending := range c.probes {
+		if !pending.isIndirect && !pending.isReconnect && !now.Before(pending.indirectAt) {
+			pending.isIndirect = true
+			out = append(out, c.sendIndirectProbes(sequence, pending)...)
 		}
-		if now.Before(waiting.deadline) {
+		if now.Before(pending.deadline) {
 			continue
 		}
 		delete(c.probes, sequence)
-		if !waiting.isReconnect {
-			c.healthLack = min(c.healthLack+1, maxHealthLack)
-			c.suspect(waiting.target, now)
+		if !pending.isReconnect {
+			c.healthScore = min(c.healthScore+1, maxHealthScore)
+			c.suspect(pending.target, now)
 		}
 	}
 	return out
 }
 
-func (c *Core) askIndirect(sequence int64, waiting *probe) []Datagram {
-	target := c.members[waiting.target]
-	helpers := c.randomMembers(c.config.IndirectProbes, waiting.target)
+func (c *Core) sendIndirectProbes(sequence int64, pending *probe) []Datagram {
+	target := c.members[pending.target]
+	helpers := c.randomMembers(c.config.IndirectProbes, pending.target)
 	out := []Datagram{}
 	for _, helper := range helpers {
 		packet := c.packet(PacketPingRequest, sequence)
@@ -60,7 +62,7 @@
 	}
 	member.State = StateSuspect
 	c.statistics.Suspicions++
-	c.accused[name] = true
+	c.ownSuspects[name] = true
 	c.apply(member, now)
 }
 
@@ -84,10 +86,10 @@
 	}
 }
 
-// youthPatience is how many times longer a member in the first moments of its life waits for
-// answers: it is busy with learning the others, and where all have just started they are too.
-// In a large fleet each false suspicion is an update for everybody, and so is its refutation.
-const youthPatience = 3
+// startupTimeoutFactor multiplies the probe timeouts of a member that has just started.
+// Members answer late while they exchange their lists, and each false suspicion and
+// its refutation are updates to the whole fleet.
+const startupTimeoutFactor = 3
 
 // startProbe pings the next member of a shuffled ring.
 func (c *Core) startProbe(now time.Time) []Datagram {
@@ -96,9 +98,9 @@
 		return nil
 	}
 	c.sequence++
-	stretch := time.Duration(c.healthLack + 1)
-	if c.isYoung(now) {
-		stretch *= youthPatience
+	stretch := time.Duration(c.healthScore + 1)
+	if c.isStarting(now) {
+		stretch *= startupTimeoutFactor
 	}
 	c.probes[c.sequence] = &probe{
 		target:     target.Name,
@@ -110,18 +112,19 @@
 	return []Datagram{c.send(target.Address, packet, c.config.PiggybackBytes, target.Zone)}
 }
 
-// tellAccused tells suspects of their suspicion, so that a live one can refute
-// it whatever becomes of gossip.
-func (c *Core) tellAccused() []Datagram {
+// notifySuspects sends the suspicions that this member raised to the suspects, so that
+// a live one can refute even if gossip is lost.
+func (c *Core) notifySuspects() []Datagram {
 	out := []Datagram{}
-	for name := range c.accused {
+	for name := range c.ownSuspects {
 		packet := c.packet(PacketGossip, 0)
 		packet.Members = []Member{c.members[name]}
-		out = append(out, c.count(Datagram{Address: c.members[name].Address, Packet: packet}))
+		out = append(out, c.countSent(Datagram{Address: c.members[name].Address, Packet: packet}))
 	}
 	return out
 }
 
+// nextTarget returns the next live member of the ring.
 func (c *Core) nextTarget() (Member, bool) {
 	for range len(c.members) + 1 {
 		if c.ringIndex >= len(c.ring) {
@@ -149,14 +152,14 @@
 	c.ringIndex = 0
 }
 
-// reconnect pings one dead member and a seed that no live member accounts
-// for, or some, so that groups that lost each other, or never met, find together.
+// reconnect pings one dead member and one or more seeds that are no live member's
+// address, so that partitioned groups merge.
 func (c *Core) reconnect(now time.Time) []Datagram {
 	addresses := []string{}
 	if dead, found := c.randomDead(); found {
 		addresses = append(addresses, dead.Address)
 	}
-	addresses = append(addresses, c.someSeeds(now)...)
+	addresses = append(addresses, c.randomSeeds(now)...)
 	out := []Datagram{}
 	for _, address := range addresses {
 		if address == c.self.Address {
@@ -169,16 +172,16 @@
 	return out
 }
 
-// someSeeds draws from the seeds that no live member accounts for: one, or some
-// while the member joins.
-func (c *Core) someSeeds(now time.Time) []string {
-	strangers := c.unknownSeeds()
-	c.random.Shuffle(len(strangers), func(a, b int) { strangers[a], strangers[b] = strangers[b], strangers[a] })
+// randomSeeds picks random seeds that are no live member's address: one, or up to
+// joinSeeds while this member joins.
+func (c *Core) randomSeeds(now time.Time) []string {
+	unknown := c.unknownSeeds()
+	c.random.Shuffle(len(unknown), func(a, b int) { unknown[a], unknown[b] = unknown[b], unknown[a] })
 	count := 1
 	if c.isJoining(now) {
 		count = joinSeeds
 	}
-	return strangers[:min(count, len(strangers))]
+	return unknown[:min(count, len(unknown))]
 }
 
 // unknownSeeds returns the seeds that are no live member's address.
@@ -189,13 +192,13 @@
 			live[member.Address] = true
 		}
 	}
-	strangers := []string{}
+	unknown := []string{}
 	for _, seed := range c.seeds {
 		if !live[seed] {
-			strangers = append(strangers, seed)
+			unknown = append(unknown, seed)
 		}
 	}
-	return strangers
+	return unknown
 }
 
 func (c *Core) answerPing(now time.Time, packet Packet) []Datagram {
@@ -212,16 +215,17 @@
 		delete(c.relays, packet.Sequence)
 		return []Datagram{c.send(pending.requester, c.packet(PacketAck, pending.sequence), 0, "")}
 	}
-	if waiting, known := c.probes[packet.Sequence]; known {
+	if pending, known := c.probes[packet.Sequence]; known {
 		delete(c.probes, packet.Sequence)
-		if !waiting.isReconnect {
-			c.healthLack = max(c.healthLack-1, 0)
+		if !pending.isReconnect {
+			c.healthScore = max(c.healthScore-1, 0)
 		}
 		c.compareDigest(now, packet)
 	}
 	return nil
 }
 
+// relayPing pings a target on behalf of the sender.
 func (c *Core) relayPing(now time.Time, packet Packet) []Datagram {
 	c.sequence++
 	c.relays[c.sequence] = relay{requester: packet.FromAddress, sequence: packet.Sequence, deadline: now.Add(c.config.ProbeInterval)}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -8,54 +8,57 @@
 )
 
 const (
-	// leastBuckets is the least number of parts of the member list that are compared by
-	// digest; only parts that differ are exchanged. Each holds bucketMembers at most in
-	// the mean, so that one change costs the same in a fleet of any size.
-	leastBuckets  = 32
+	// minBuckets is the least number of buckets into which an exchange divides the
+	// member list. Only buckets whose digests differ are exchanged.
+	minBuckets = 32
+	// bucketMembers is the highest mean number of members in a bucket. It bounds the
+	// cost of one change in a fleet of any size.
 	bucketMembers = 8
-	// bulkMembers is from how many members on an exchange is a bulk of news, which is not
-	// passed on by gossip: all learn it by exchanges of their own, and gossip, which is
-	// bounded, would be busy with it for minutes while other news wait.
+	// bulkMembers is the number of members from which on the result of an exchange is
+	// not gossiped: other members get it by their own exchanges, and it would delay
+	// other updates in the rate-limited gossip.
 	bulkMembers = 16
-	// mostBuckets bounds the parts that another member may ask to compare.
-	mostBuckets = 1 << 16
+	// maxBuckets limits the number of buckets that another member may request.
+	maxBuckets = 1 << 16
 )
 
-// SyncRequest opens a full exchange.
+// SyncRequest starts a full exchange.
 type SyncRequest struct {
-	Zone    string
+	Zone string
+	// Digests holds the digest of each of the requester's buckets.
 	Digests []int64
-	// ItemDigest covers the durable items that the requester's zone should
-	// have; when it differs, the answer carries them all.
+	// ItemDigest covers the durable items for the requester's zone. If it differs
+	// from the responder's, the answer carries all of these.
 	ItemDigest int64
 }
 
-// SyncAnswer carries the responder's side of the parts that differ.
+// SyncAnswer carries the responder's digests and its members in buckets that differ.
 type SyncAnswer struct {
 	Digests []int64
 	Members []Member
 	Items   []Item
 }
 
-// SyncPush carries the requester's side of the parts that differ.
+// SyncPush carries the requester's members in buckets that differ.
 type SyncPush struct {
 	Members []Member
 }
 
-// bucketOf returns the part, of so many, to which a member belongs.
+// bucketOf returns the bucket of a member, from 0 to buckets-1.
 func bucketOf(name string, buckets int) int { return int(xxhash.Sum64String(name) % uint64(buckets)) }
 
-// buckets is the number of parts that this member asks to compare: a power of two, so that
-// members that know nearly as many ask for the same.
+// buckets is the number of buckets that this member requests: a power of two, so that
+// members with lists of similar length use the same number.
 func (c *Core) buckets() int {
-	count := leastBuckets
+	count := minBuckets
 	for count*bucketMembers < len(c.members) {
 		count *= 2
 	}
 	return count
 }
 
-// bucketDigests covers dead members too: news of a death must not be lost.
+// bucketDigests returns the digest of each bucket. Dead members are included, so that
+// exchanges carry deaths.
 func (c *Core) bucketDigests(buckets int) []int64 {
 	digests := make([]int64, buckets)
 	for name, member := range c.members {
@@ -80,58 +83,58 @@
 	return chosen
 }
 
-// StartSync makes the request of a full exchange.
+// StartSync returns the request of a full exchange.
 func (c *Core) StartSync() SyncRequest {
 	return SyncRequest{Zone: c.self.Zone, Digests: c.bucketDigests(c.buckets()), ItemDigest: c.itemDigest(c.self.Zone)}
 }
 
-// AnswerSync makes the responder's answer.
+// AnswerSync returns the answer to a request.
 func (c *Core) AnswerSync(request SyncRequest) SyncAnswer {
-	buckets := min(max(len(request.Digests), 1), mostBuckets)
+	buckets := min(max(len(request.Digests), 1), maxBuckets)
 	answer := SyncAnswer{Digests: c.bucketDigests(buckets), Members: c.membersInDifferingBuckets(request.Digests)}
 	if request.ItemDigest == c.itemDigest(request.Zone) {
 		return answer
 	}
-	for _, held := range c.items {
-		if held.item.concerns(request.Zone) {
-			answer.Items = append(answer.Items, held.item)
+	for _, stored := range c.items {
+		if stored.item.appliesTo(request.Zone) {
+			answer.Items = append(answer.Items, stored.item)
 		}
 	}
 	return answer
 }
 
-// concerns reports whether members of a zone hold the item.
-func (i Item) concerns(zone string) bool { return i.Zone == "" || i.Zone == zone }
+// appliesTo reports whether members of a zone store the item.
+func (i Item) appliesTo(zone string) bool { return i.Zone == "" || i.Zone == zone }
 
-// itemDigest covers the items that change seldom; load items refresh
-// themselves.
+// itemDigest covers the durable items for a zone. Load items are left out, as their
+// publishers refresh them often.
 func (c *Core) itemDigest(zone string) int64 {
 	digest := uint64(0)
-	for key, held := range c.items {
-		if held.item.Priority != PriorityLoad && held.item.concerns(zone) {
-			digest ^= mix(xxhash.Sum64String(key) + uint64(held.item.Version)*mixIncarnation)
+	for key, stored := range c.items {
+		if stored.item.Priority != PriorityLoad && stored.item.appliesTo(zone) {
+			digest ^= mix(xxhash.Sum64String(key) + uint64(stored.item.Version)*mixIncarnation)
 		}
 	}
 	return int64(digest)
 }
 
-// FinishSync merges the answer and makes the requester's side.
+// FinishSync merges the answer and returns the requester's members for the responder.
 func (c *Core) FinishSync(answer SyncAnswer, now time.Time) SyncPush {
 	push := SyncPush{Members: c.membersInDifferingBuckets(answer.Digests)}
-	c.learn(answer.Members, now)
+	c.mergeExchanged(answer.Members, now)
 	for _, item := range answer.Items {
 		c.applyItem(item, now)
 	}
 	return push
 }
 
-// AcceptPush merges the requester's side.
+// AcceptPush merges the requester's members.
 func (c *Core) AcceptPush(push SyncPush, now time.Time) {
-	c.learn(push.Members, now)
+	c.mergeExchanged(push.Members, now)
 }
 
-// learn merges the members of an exchange.
-func (c *Core) learn(members []Member, now time.Time) {
+// mergeExchanged merges the members of an exchange. Fewer than bulkMembers are also gossiped.
+func (c *Core) mergeExchanged(members []Member, now time.Time) {
 	if len(members) < bulkMembers {
 		for _, member := range members {
 			c.apply(member, now)
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -91,7 +91,7 @@
 mutant no_item_digest internal/membership/core.go \
 	'isSame = isSame && packet.ItemDigest' 'isSame = isSame || packet.ItemDigest' internal/membership/simulation TestRestartedMemberGetsItsZonesItems
 mutant no_direct_accusation internal/membership/probe.go \
-	'c.accused[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
+	'c.ownSuspects[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
 mutant no_attempt_echo internal/engine/client.go \
 	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestCrossedAnswersAreDropped
 mutant no_end_marker internal/engine/client.go \
@@ -105,9 +105,9 @@
 mutant no_wait_at_stop internal/daemon/daemon.go \
 	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCutsOffNoRequest
 mutant no_pause_notice internal/membership/core.go \
-	'	c.notePause(now)' '' internal/membership TestPausedMemberWaitsForItsOwnAnswers
+	'	c.compensatePause(now)' '' internal/membership TestPauseRaisesNoSuspicion
 mutant no_gossip_bound internal/membership/gossip.go \
-	'	c.allowance -= float64(packetSize(datagram.Packet))' '' internal/membership TestGossipStaysWithinItsBytes
+	'	c.allowance -= float64(packetSize(datagram.Packet))' '' internal/membership TestGossipStaysWithinByteLimit
 mutant no_claim_condition internal/job/commit.go \
 	'Conditions: []table.Condition{{Table: tableClaim, Key: o.job.ID, Version: o.claim.version}},
 	}
