--- a/internal/membership/simulation/convergence_test.go
+++ b/internal/membership/simulation/convergence_test.go
@@ -9,100 +9,104 @@
 	"topazpulley/internal/membership"
 )
 
-func converge(t *testing.T, topology Topology, seed uint64) *Network {
+// newConvergedNetwork starts a network and runs it until each daemon has all members.
+func newConvergedNetwork(t *testing.T, topology Topology, seed uint64) *Network {
 	network := NewNetwork(topology, membership.DefaultConfig(time.Second), seed)
-	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.everyoneKnows(topology.Daemons) })
+	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.allHaveMembers(topology.Daemons) })
 	require.True(t, ok)
 	return network
 }
 
-var small = Topology{Daemons: 24, Engines: 36, Zones: 3, Regions: 2}
+var smallFleet = Topology{Daemons: 24, Engines: 36, Zones: 3, Regions: 2}
 
-// TestFleetThatStartsAtOnceKnowsItselfSoon, in virtual time: after a restart of
-// all daemons loads are shared again within a few probe intervals.
-func TestFleetThatStartsAtOnceKnowsItselfSoon(t *testing.T) {
+// TestSimultaneousStartConverges checks that a fleet whose daemons all start
+// at once converges within 8 probe intervals.
+func TestSimultaneousStartConverges(t *testing.T) {
 	fleet := Topology{Daemons: 90, Engines: 90, Zones: 3, Regions: 1}
 	network := NewNetwork(fleet, membership.DefaultConfig(500*time.Millisecond), 11)
-	took, ok := network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.everyoneKnows(fleet.Daemons) })
+	took, ok := network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.allHaveMembers(fleet.Daemons) })
 	require.True(t, ok)
 	require.LessOrEqual(t, took, 4*time.Second)
 }
 
-// TestLargeFleetThatStartsAtOnce, with the same three seeds for all: what its daemons learn
-// in bulk they do not pass on by gossip, which is free for news then.
-func TestLargeFleetThatStartsAtOnce(t *testing.T) {
+// TestLargeSimultaneousStartConverges checks that a large fleet in which all daemons have the
+// same three seeds converges, and that gossip is not filled with members that were
+// received in exchanges, so that a new member soon reaches all daemons.
+func TestLargeSimultaneousStartConverges(t *testing.T) {
 	fleet := Topology{Daemons: 300, Zones: 5, Regions: 1}
 	network := NewNetwork(fleet, membership.DefaultConfig(500*time.Millisecond), 11)
 	for _, daemon := range network.daemons {
 		daemon.core.SetSeeds([]string{address(0), address(1), address(2)})
 	}
-	took, ok := network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.everyoneKnows(fleet.Daemons) })
+	took, ok := network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.allHaveMembers(fleet.Daemons) })
 	require.True(t, ok)
 	require.LessOrEqual(t, took, 4*time.Second)
-	require.LessOrEqual(t, network.exchanged, 4*fleet.Daemons*fleet.Daemons, "each member is carried to each daemon some times at most")
+	require.LessOrEqual(t, network.exchanged, 4*fleet.Daemons*fleet.Daemons, "each member is sent to each daemon 4 times at most on average")
 
 	const span = 5 * time.Second
-	network.Run(span) // what was heard by gossip is passed on
+	network.Run(span) // queued gossip drains
 	before := network.bytesSent()
 	network.Run(span)
 	perSecond := float64(network.bytesSent()-before) / span.Seconds() / float64(fleet.Daemons)
-	require.Less(t, perSecond, 1000.0, "probes are left, with next to no gossip")
+	require.Less(t, perSecond, 1000.0, "bytes per second: probes with little gossip")
 
 	network.add(fleet.Daemons)
 	network.daemons[fleet.Daemons].core.SetSeeds([]string{address(0)})
-	took, ok = network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.everyoneKnows(fleet.Daemons + 1) })
+	took, ok = network.RunUntil(time.Minute, 100*time.Millisecond, func() bool { return network.allHaveMembers(fleet.Daemons + 1) })
 	require.True(t, ok)
 	require.LessOrEqual(t, took, 8*time.Second)
 }
 
-func TestGroupsThatNeverMetFindTogether(t *testing.T) {
-	network := NewNetwork(small, membership.DefaultConfig(time.Second), 7)
-	network.cut = func(from, to *simulated) bool { return from.index%2 != to.index%2 }
+func TestSeparateGroupsMerge(t *testing.T) {
+	network := NewNetwork(smallFleet, membership.DefaultConfig(time.Second), 7)
+	network.isPartitioned = func(from, to *simulated) bool { return from.index%2 != to.index%2 }
 	network.Run(20 * time.Second)
-	require.False(t, network.everyoneKnows(small.Daemons))
-	network.cut = func(*simulated, *simulated) bool { return false }
-	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.everyoneKnows(small.Daemons) })
+	require.False(t, network.allHaveMembers(smallFleet.Daemons))
+	network.isPartitioned = func(*simulated, *simulated) bool { return false }
+	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.allHaveMembers(smallFleet.Daemons) })
 	require.True(t, ok)
 }
 
-func TestFailureIsKnownEverywhereAndRestartForgiven(t *testing.T) {
-	network := converge(t, small, 1)
+func TestFailureAndRestartReachAllDaemons(t *testing.T) {
+	network := newConvergedNetwork(t, smallFleet, 1)
 	network.daemons[5].up = false
-	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.nobodyBelieves(5) })
+	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.noneHasLive(5) })
 	require.True(t, ok)
-	network.boot(network.daemons[5])
-	_, ok = network.RunUntil(time.Minute, time.Second, func() bool { return network.everyoneKnows(small.Daemons) })
+	network.start(network.daemons[5])
+	_, ok = network.RunUntil(time.Minute, time.Second, func() bool { return network.allHaveMembers(smallFleet.Daemons) })
 	require.True(t, ok)
 }
 
-func TestLossAloneKillsNobody(t *testing.T) {
-	network := converge(t, small, 2)
+func TestPacketLossCausesNoDeaths(t *testing.T) {
+	network := newConvergedNetwork(t, smallFleet, 2)
 	network.loss = 0.05
 	network.Run(5 * time.Minute)
 	require.Zero(t, network.deaths())
 	require.Positive(t, network.suspicions())
 }
 
-// TestSuspectsRefuteUnderHeavyLoss: with three datagrams in ten lost, suspects
-// still hear of their suspicion in time.
+// TestSuspectsRefuteUnderHeavyLoss checks that with 30% packet loss nine suspects in ten
+// receive the suspicion and refute it in time.
 func TestSuspectsRefuteUnderHeavyLoss(t *testing.T) {
-	network := converge(t, small, 2)
+	network := newConvergedNetwork(t, smallFleet, 2)
 	network.loss = 0.3
 	network.Run(5 * time.Minute)
 	require.Positive(t, network.suspicions())
 	require.Less(t, 10*network.deaths(), network.suspicions())
 }
 
-func TestPausedMemberBlamesNobody(t *testing.T) {
-	network := converge(t, small, 3)
+func TestPausedMemberDeclaresNoDeaths(t *testing.T) {
+	network := newConvergedNetwork(t, smallFleet, 3)
 	network.daemons[3].pausedUntil = network.now.Add(30 * time.Second)
 	network.Run(2 * time.Minute)
 	require.Zero(t, network.daemons[3].core.Statistics().Deaths)
-	require.True(t, network.everyoneKnows(small.Daemons))
+	require.True(t, network.allHaveMembers(smallFleet.Daemons))
 }
 
-func TestEveryEngineHasOneSupervisorAgainAfterALostZone(t *testing.T) {
-	network := converge(t, small, 4)
+// TestSurvivingDaemonSupervisesAllEnginesOfZone checks that the last daemon of a
+// zone supervises all engines of the zone.
+func TestSurvivingDaemonSupervisesAllEnginesOfZone(t *testing.T) {
+	network := newConvergedNetwork(t, smallFleet, 4)
 	network.Run(5 * time.Second)
 	for _, daemon := range network.daemons {
 		if daemon.zone == 1 && daemon.index != 1 {
@@ -113,13 +117,13 @@
 	require.True(t, ok)
 }
 
-func TestRevisionReachesAZoneThatWasCut(t *testing.T) {
-	network := converge(t, small, 5)
-	network.cut = func(from, to *simulated) bool { return (from.zone == 0) != (to.zone == 0) }
+func TestRevisionReachesZoneAfterPartition(t *testing.T) {
+	network := newConvergedNetwork(t, smallFleet, 5)
+	network.isPartitioned = func(from, to *simulated) bool { return (from.zone == 0) != (to.zone == 0) }
 	network.applyRevision(network.daemons[1], 9)
 	network.Run(20 * time.Second)
 	require.Zero(t, network.daemons[0].revision)
-	network.cut = func(*simulated, *simulated) bool { return false }
-	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.everyoneServes(9) })
+	network.isPartitioned = func(*simulated, *simulated) bool { return false }
+	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.allHaveRevision(9) })
 	require.True(t, ok)
 }
--- a/internal/membership/simulation/network_test.go
+++ b/internal/membership/simulation/network_test.go
@@ -1,6 +1,6 @@
-// Package simulation tests the membership protocol as a fleet: many members on an
-// in-memory network in virtual time, with cuts, losses, pauses and restarts.
-// Every packet is encoded and authenticated as daemons do.
+// Package simulation tests the membership protocol with many members on an
+// in-memory network in virtual time, with partitions, packet loss, pauses and
+// restarts. Packets are encoded and authenticated as between real daemons.
 package simulation
 
 import (
@@ -13,7 +13,7 @@
 	"topazpulley/internal/peer"
 )
 
-// Topology is the shape of a fleet.
+// Topology is the size of a fleet and its division into zones and regions.
 type Topology struct {
 	Daemons int
 	Engines int
@@ -22,10 +22,10 @@
 }
 
 const (
-	tickInterval    = 50 * time.Millisecond
-	latencyInZone   = 300 * time.Microsecond
-	latencyInRegion = time.Millisecond
-	latencyBeyond   = 20 * time.Millisecond
+	tickInterval          = 50 * time.Millisecond
+	latencyInZone         = 300 * time.Microsecond
+	latencyInRegion       = time.Millisecond
+	latencyBetweenRegions = 20 * time.Millisecond
 )
 
 // simulated is one daemon on the in-memory network.
@@ -36,18 +36,21 @@
 	region      int
 	up          bool
 	pausedUntil time.Time
-	life        int64
+	starts      int64
 	revision    int64
 	revisionAt  time.Time
-	supervised  []int
-	dutyAt      time.Time
-	publishAt   map[int]time.Time
+	// supervised holds the engines that the daemon supervises.
+	supervised []int
+	// dutiesAt is when supervised was last computed.
+	dutiesAt time.Time
+	// publishAt is when the load of an engine is published next.
+	publishAt map[int]time.Time
 
-	// earlier sums the counters of the daemon's earlier lives.
-	earlier membership.Statistics
+	// previous holds the summed counters of the daemon's previous incarnations.
+	previous membership.Statistics
 }
 
-// event is something that happens at a virtual time.
+// event is a function to run at a virtual time.
 type event struct {
 	at    time.Time
 	order uint64
@@ -77,8 +80,7 @@
 	return last
 }
 
-// Network is a fleet of members in virtual time. It is deterministic
-// for a seed.
+// Network simulates a fleet in virtual time. Runs with the same seed are identical.
 type Network struct {
 	topology  Topology
 	config    membership.Config
@@ -89,20 +91,20 @@
 	queue     eventQueue
 	daemons   []*simulated
 	byAddress map[string]*simulated
-	// cut reports whether traffic from one daemon to another is dropped.
-	cut func(from, to *simulated) bool
-	// loss is the share of datagrams lost at random.
+	// isPartitioned reports whether traffic from one daemon to another is dropped.
+	isPartitioned func(from, to *simulated) bool
+	// loss is the share of datagrams dropped at random, from 0 to 1.
 	loss float64
-	// exchanged counts the members that full exchanges carried, between zones those of
-	// exchanges across them.
+	// exchanged counts the members that full exchanges carried; exchangedBetweenZones
+	// counts those of exchanges between daemons of different zones.
 	exchanged, exchangedBetweenZones int
 }
 
-// NewNetwork starts a fleet whose members know the first ones as seeds.
+// NewNetwork starts a fleet. Each member gets four random members as seeds.
 func NewNetwork(topology Topology, config membership.Config, seed uint64) *Network {
 	network := &Network{
 		topology: topology, config: config, random: rand.New(rand.NewPCG(seed, seed)), key: make([]byte, 32),
-		now: time.Unix(1_800_000_000, 0), byAddress: map[string]*simulated{}, cut: func(*simulated, *simulated) bool { return false },
+		now: time.Unix(1_800_000_000, 0), byAddress: map[string]*simulated{}, isPartitioned: func(*simulated, *simulated) bool { return false },
 	}
 	for index := range topology.Daemons {
 		network.add(index)
@@ -115,7 +117,7 @@
 	daemon := &simulated{index: index, zone: zone, region: zone % n.topology.Regions, publishAt: map[int]time.Time{}}
 	n.daemons = append(n.daemons, daemon)
 	n.byAddress[address(index)] = daemon
-	n.boot(daemon)
+	n.start(daemon)
 	n.after(time.Duration(n.random.Int64N(int64(tickInterval))), func() { n.tick(daemon) })
 }
 
@@ -125,17 +127,17 @@
 func name(index int) string    { return fmt.Sprintf("daemon-%03d", index) }
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// boot starts a new life of a daemon, which remembers nothing.
-func (n *Network) boot(daemon *simulated) {
-	daemon.life++
+// start starts a new incarnation of a daemon without any state.
+func (n *Network) start(daemon *simulated) {
+	daemon.starts++
 	if daemon.core != nil {
 		ended := daemon.core.Statistics()
-		daemon.earlier.Deaths += ended.Deaths
-		daemon.earlier.Suspicions += ended.Suspicions
+		daemon.previous.Deaths += ended.Deaths
+		daemon.previous.Suspicions += ended.Suspicions
 	}
 	self := membership.Member{
 		Name: name(daemon.index), Address: address(daemon.index), HTTPAddress: address(daemon.index), Zone: zoneName(daemon.zone),
-		Region: fmt.Sprintf("region-%d", daemon.region), Incarnation: n.now.UnixMilli() + daemon.life,
+		Region: fmt.Sprintf("region-%d", daemon.region), Incarnation: n.now.UnixMilli() + daemon.starts,
 	}
 	random := rand.New(rand.NewPCG(n.random.Uint64(), n.random.Uint64()))
 	daemon.core = membership.New(n.config, self, random, n.now)
@@ -149,13 +151,13 @@
 	daemon.supervised = nil
 }
 
-// after schedules an event.
+// after schedules run after a delay.
 func (n *Network) after(delay time.Duration, run func()) {
 	n.order++
 	heap.Push(&n.queue, event{at: n.now.Add(delay), order: n.order, run: run})
 }
 
-// Run advances virtual time.
+// Run advances the virtual time by span.
 func (n *Network) Run(span time.Duration) {
 	end := n.now.Add(span)
 	for len(n.queue) > 0 && !n.queue[0].at.After(end) {
@@ -166,17 +168,17 @@
 	n.now = end
 }
 
-// RunUntil advances until the condition holds, which it checks every step, and
-// returns how long that took; ok is false when the bound passed first.
-func (n *Network) RunUntil(bound, step time.Duration, condition func() bool) (took time.Duration, ok bool) {
+// RunUntil advances the virtual time until the condition holds, which it checks every
+// step, and returns how long that took. ok is false if it does not hold within timeout.
+func (n *Network) RunUntil(timeout, step time.Duration, condition func() bool) (took time.Duration, ok bool) {
 	started := n.now
-	for n.now.Sub(started) < bound {
+	for n.now.Sub(started) < timeout {
 		if condition() {
 			return n.now.Sub(started), true
 		}
 		n.Run(step)
 	}
-	return bound, condition()
+	return timeout, condition()
 }
 
 func (n *Network) tick(daemon *simulated) {
@@ -188,7 +190,7 @@
 	n.send(daemon, daemon.core.Tick(n.now))
 }
 
-// send sends what a step of a daemon returned, and does what it asked for.
+// send transmits the datagrams that a daemon returned and handles its events.
 func (n *Network) send(daemon *simulated, datagrams []membership.Datagram) {
 	for _, datagram := range datagrams {
 		sealed, err := peer.SealDatagram(n.key, datagram.Packet)
@@ -201,7 +203,7 @@
 
 func (n *Network) transmit(from *simulated, to string, sealed []byte) {
 	target, known := n.byAddress[to]
-	if !known || n.cut(from, target) || n.random.Float64() < n.loss {
+	if !known || n.isPartitioned(from, target) || n.random.Float64() < n.loss {
 		return
 	}
 	n.after(n.latency(from, target), func() { n.deliver(target, sealed) })
@@ -214,7 +216,7 @@
 	case from.region == to.region:
 		return latencyInRegion
 	}
-	return latencyBeyond
+	return latencyBetweenRegions
 }
 
 func (n *Network) deliver(target *simulated, sealed []byte) {
@@ -233,7 +235,7 @@
 	n.send(target, target.core.Receive(n.now, packet))
 }
 
-// react carries out what a core asks for: full exchanges and fetches of
+// react handles a core's events: it performs full exchanges and fetches
 // configuration revisions.
 func (n *Network) react(daemon *simulated) {
 	for _, event := range daemon.core.TakeEvents() {
@@ -250,9 +252,9 @@
 	}
 }
 
-// call runs a peer call after a round trip if both ends can reach each other.
+// call runs answer after a round trip if both daemons can reach each other and run.
 func (n *Network) call(from, to *simulated, answer func()) {
-	if n.cut(from, to) || n.cut(to, from) {
+	if n.isPartitioned(from, to) || n.isPartitioned(to, from) {
 		return
 	}
 	n.after(2*n.latency(from, to), func() {
--- a/internal/membership/simulation/observe_test.go
+++ b/internal/membership/simulation/observe_test.go
@@ -1,8 +1,8 @@
 package simulation
 
-// everyoneKnows reports whether every daemon that is up sees the number of
-// live members.
-func (n *Network) everyoneKnows(members int) bool {
+// allHaveMembers reports whether each daemon that is up has the given number of live
+// members.
+func (n *Network) allHaveMembers(members int) bool {
 	for _, daemon := range n.daemons {
 		if daemon.up && len(daemon.core.Members()) != members {
 			return false
@@ -11,9 +11,9 @@
 	return true
 }
 
-// nobodyBelieves reports whether no daemon that is up still sees the daemon
-// live.
-func (n *Network) nobodyBelieves(index int) bool {
+// noneHasLive reports whether no other daemon that is up has the daemon as a live
+// member.
+func (n *Network) noneHasLive(index int) bool {
 	for _, daemon := range n.daemons {
 		if member, known := daemon.core.Member(name(index)); daemon.up && daemon.index != index && known && member.Live() {
 			return false
@@ -22,8 +22,8 @@
 	return true
 }
 
-// everyoneServes reports whether every daemon that is up has the revision.
-func (n *Network) everyoneServes(revision int64) bool {
+// allHaveRevision reports whether every daemon that is up has the revision.
+func (n *Network) allHaveRevision(revision int64) bool {
 	for _, daemon := range n.daemons {
 		if daemon.up && daemon.revision < revision {
 			return false
@@ -36,7 +36,7 @@
 func (n *Network) deaths() uint64 {
 	total := uint64(0)
 	for _, daemon := range n.daemons {
-		total += daemon.earlier.Deaths + daemon.core.Statistics().Deaths
+		total += daemon.previous.Deaths + daemon.core.Statistics().Deaths
 	}
 	return total
 }
@@ -45,12 +45,12 @@
 func (n *Network) suspicions() uint64 {
 	total := uint64(0)
 	for _, daemon := range n.daemons {
-		total += daemon.earlier.Suspicions + daemon.core.Statistics().Suspicions
+		total += daemon.previous.Suspicions + daemon.core.Statistics().Suspicions
 	}
 	return total
 }
 
-// bytesSent counts what the daemons' present lives have sent.
+// bytesSent counts the bytes sent by the current incarnations of all daemons.
 func (n *Network) bytesSent() uint64 {
 	total := uint64(0)
 	for _, daemon := range n.daemons {
--- a/internal/membership/simulation/supervision_test.go
+++ b/internal/membership/simulation/supervision_test.go
@@ -26,11 +26,11 @@
 	return engines
 }
 
-// supervise takes up the daemon's engine duties and publishes the load of its
-// engines, which changes all the time, at the supervisors' interval.
+// supervise updates which engines the daemon supervises and publishes a random load
+// for each of them at the supervisors' interval.
 func (n *Network) supervise(daemon *simulated) {
-	if n.now.Sub(daemon.dutyAt) >= dutyInterval {
-		daemon.dutyAt = n.now
+	if n.now.Sub(daemon.dutiesAt) >= dutyInterval {
+		daemon.dutiesAt = n.now
 		daemon.supervised = n.dutiesOf(daemon)
 	}
 	interval := supervisor.LoadInterval(n.topology.Engines / n.topology.Zones)
@@ -44,6 +44,7 @@
 	}
 }
 
+// dutiesOf returns the engines that the daemon has to supervise by its member list.
 func (n *Network) dutiesOf(daemon *simulated) []int {
 	names := []string{}
 	for _, member := range daemon.core.Members() {
@@ -51,11 +52,11 @@
 			names = append(names, member.Name)
 		}
 	}
-	held := []int{}
+	owned := []int{}
 	for _, engine := range n.enginesOf(daemon.zone) {
 		if duty.Owner(supervisor.EngineDuty(engineName(engine)), names) == name(daemon.index) {
-			held = append(held, engine)
+			owned = append(owned, engine)
 		}
 	}
-	return held
+	return owned
 }
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -21,7 +21,7 @@
 mutant two_upstreams_for_any_zone internal/topology/topology.go \
 	'return max(needed, leastUpstreams)' 'return max(min(needed, 1), leastUpstreams)' internal/topology TestUpstreamsGrowWithTheZone
 mutant bulk_gossiped internal/membership/sync.go \
-	'if len(members) < bulkMembers {' 'if true {' internal/membership/simulation TestLargeFleetThatStartsAtOnce
+	'if len(members) < bulkMembers {' 'if true {' internal/membership/simulation TestLargeSimultaneousStartConverges
 mutant schema_changed internal/quota/messages.go \
 	'"name":"' '"name":"x' internal/command TestSchemasAreThoseOfTheList
 mutant refusing_upstream_not_passed_by internal/frontend/upstream.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -85,11 +85,11 @@
 mutant no_guard internal/admission/window.go \
 	'if pressure > w.guard {' 'if false {' internal/admission TestWindowIsZeroAboveTheGuard
 mutant no_seeds_after_start internal/membership/probe.go \
-	'if !live[seed] {' 'if len(live) < 2 {' internal/membership/simulation TestGroupsThatNeverMetFindTogether
+	'if !live[seed] {' 'if len(live) < 2 {' internal/membership/simulation TestSeparateGroupsMerge
 mutant weak_digest internal/membership/member.go \
-	'return value ^ value>>33' 'return value & 3' internal/membership/simulation TestRegionThatWasCutIsWholeAgain
+	'return value ^ value>>33' 'return value & 3' internal/membership/simulation TestPartitionedRegionRejoins
 mutant no_item_digest internal/membership/core.go \
-	'isSame = isSame && packet.ItemDigest' 'isSame = isSame || packet.ItemDigest' internal/membership/simulation TestRestartedMemberGetsItsZonesItems
+	'isSame = isSame && packet.ItemDigest' 'isSame = isSame || packet.ItemDigest' internal/membership/simulation TestRestartedMemberGetsZoneItems
 mutant no_direct_accusation internal/membership/probe.go \
 	'c.ownSuspects[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
 mutant no_attempt_echo internal/engine/client.go \
