--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -1,7 +1,10 @@
-// Package peer is the protocol between daemons: avro messages in sealed UDP
-// datagrams for membership and in length-prefixed TCP frames for calls, both
-// over gnet. Every datagram and every connection's hello is authenticated with
-// the cluster key; unknown peers get nothing.
+// Package peer implements the protocol between daemons over gnet: Avro messages in
+// UDP datagrams for membership, and in length-prefixed TCP frames for calls. Each
+// datagram and the handshake of each connection are authenticated with the cluster
+// key. Nothing is encrypted.
+//
+// A Transport serves one address. Handle registers the methods that it answers,
+// and Call sends a request to another daemon.
 package peer
 
 import (
@@ -22,15 +25,16 @@
 const ProtocolVersion = 1
 
 const (
-	macBytes        = 16
-	frameHeadBytes  = 4
-	maxFrameBytes   = 32 << 20
-	maxDatagramSize = 64 << 10
+	macBytes = 16
+	// frameHeaderBytes is the size of a frame's length prefix.
+	frameHeaderBytes = 4
+	maxFrameBytes    = 32 << 20
+	maxDatagramSize  = 64 << 10
 )
 
-// Message is a type with a fixed avro schema.
+// Message is a type with a fixed Avro schema.
 type Message interface {
-	// Schema returns the schema by which the type is encoded.
+	// Schema returns the Avro schema of the type.
 	Schema() avro.Schema
 }
 
@@ -67,7 +71,8 @@
 	{"name":"Payload","type":"bytes"}
 ]}`
 
-// SealDatagram encodes and authenticates a packet.
+// SealDatagram encodes a packet and prefixes the protocol version and the
+// authentication code.
 func SealDatagram(key []byte, packet membership.Packet) ([]byte, error) {
 	body, err := avro.Marshal(packetSchema, packet)
 	if err != nil {
@@ -79,15 +84,15 @@
 	return append(sealed, body...), nil
 }
 
-// OpenDatagram checks and decodes a packet.
+// OpenDatagram verifies and decodes a datagram.
 func OpenDatagram(key, sealed []byte) (membership.Packet, error) {
 	packet := membership.Packet{}
 	if len(sealed) < 1+macBytes || sealed[0] != ProtocolVersion {
-		return packet, failure.New(failure.KindInvalid, "bad_datagram", "the datagram is short or of another version")
+		return packet, failure.New(failure.KindInvalid, "bad_datagram", "datagram is too short or has another protocol version")
 	}
 	body := sealed[1+macBytes:]
 	if subtle.ConstantTimeCompare(sealed[1:1+macBytes], authenticate(key, body)) != 1 {
-		return packet, failure.New(failure.KindUnauthorized, "bad_datagram_key", "the datagram is not sealed with the cluster key")
+		return packet, failure.New(failure.KindUnauthorized, "bad_datagram_key", "datagram is not authenticated with the cluster key")
 	}
 	if err := avrocodec.Unmarshal(packetSchema, body, &packet); err != nil {
 		return membership.Packet{}, err
@@ -95,6 +100,7 @@
 	return packet, nil
 }
 
+// authenticate returns the authentication code of the concatenated parts.
 func authenticate(key []byte, parts ...[]byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range parts {
@@ -103,9 +109,9 @@
 	return mac.Sum(nil)[:macBytes]
 }
 
-// envelope frames one call or answer.
+// envelope is one call or answer. Failure holds at most one element.
 type envelope struct {
-	// ID pairs an answer with its call.
+	// ID matches an answer to its call.
 	ID       int64
 	IsAnswer bool
 	Method   string
@@ -136,7 +142,8 @@
 	{"name":"Body","type":"bytes"}
 ]}`)
 
-// hello opens a connection from the calling side.
+// hello is the first message from the calling side of a connection. MAC covers the
+// challenge of the other side, Nonce and Name.
 type hello struct {
 	Version int
 	Name    string
@@ -151,9 +158,9 @@
 	{"name":"MAC","type":"bytes"}
 ]}`)
 
-// frame prefixes a body with its length.
+// frame prefixes a body with its length as four big-endian bytes.
 func frame(body []byte) []byte {
-	framed := make([]byte, frameHeadBytes, frameHeadBytes+len(body))
+	framed := make([]byte, frameHeaderBytes, frameHeaderBytes+len(body))
 	binary.BigEndian.PutUint32(framed, uint32(len(body)))
 	return append(framed, body...)
 }
@@ -169,11 +176,11 @@
 // SyncRequestMessage, SyncAnswerMessage and SyncPushMessage carry full
 // membership exchanges.
 type (
-	// SyncRequestMessage opens an exchange.
+	// SyncRequestMessage starts an exchange.
 	SyncRequestMessage struct{ membership.SyncRequest }
-	// SyncAnswerMessage is the responder's side.
+	// SyncAnswerMessage carries the responder's members and items.
 	SyncAnswerMessage struct{ membership.SyncAnswer }
-	// SyncPushMessage is the requester's side.
+	// SyncPushMessage carries the requester's members.
 	SyncPushMessage struct{ membership.SyncPush }
 	// Empty is an answer without content.
 	Empty struct{}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestDatagramSurvivesAndForgeryDoesNot(t *testing.T) {
+func TestForgedDatagramIsRefused(t *testing.T) {
 	key := bytes.Repeat([]byte{7}, 32)
 	sealed, err := SealDatagram(key, samplePacket())
 	require.NoError(t, err)
@@ -41,9 +41,9 @@
 	require.Error(t, err)
 }
 
-// TestGarbageOnThePeerPortIsDropped: a stranger's bytes get the challenge and
-// nothing else, and the transport goes on.
-func TestGarbageOnThePeerPortIsDropped(t *testing.T) {
+// TestUnauthenticatedBytesAreRefused checks that a connection without a valid hello gets
+// only the challenge, and that the transport keeps working.
+func TestUnauthenticatedBytesAreRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -58,7 +58,7 @@
 		_, err = connection.Write(garbage)
 		require.NoError(t, err)
 		answer, _ := io.ReadAll(connection)
-		require.Len(t, answer, frameHeadBytes+nonceBytes)
+		require.Len(t, answer, frameHeaderBytes+nonceBytes)
 		_ = connection.Close()
 	}
 	datagram, err := net.Dial("udp", address)
@@ -73,19 +73,19 @@
 	sealed, _ := SealDatagram(key, samplePacket())
 	f.Add(sealed[1+macBytes:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// The body is sealed, so that the decoder behind the check is reached.
-		whole := append([]byte{ProtocolVersion}, authenticate(key, body)...)
-		_, _ = OpenDatagram(key, append(whole, body...))
+		// A valid authentication code lets the body reach the decoder.
+		framed := append([]byte{ProtocolVersion}, authenticate(key, body)...)
+		_, _ = OpenDatagram(key, append(framed, body...))
 	})
 }
 
 func FuzzEnvelope(f *testing.F) {
 	framed, _ := encodeEnvelope(envelope{ID: 1, Method: "m", Body: []byte("b"), Failure: []wireFailure{{Kind: "k"}}})
-	f.Add(framed[frameHeadBytes:])
+	f.Add(framed[frameHeaderBytes:])
 	f.Fuzz(func(_ *testing.T, body []byte) { _ = avrocodec.Unmarshal(envelopeSchema, body, &envelope{}) })
 }
 
-// FuzzCalls: the messages of a connection are read or refused, whatever was sent.
+// FuzzCalls checks that decoding the messages of a connection does not panic.
 func FuzzCalls(f *testing.F) {
 	opened, _ := avro.Marshal(helloSchema, hello{Version: 1, Name: "a", Nonce: []byte("n"), MAC: []byte("m")})
 	f.Add(opened)
@@ -99,8 +99,8 @@
 	})
 }
 
-// FuzzReceive: a member that takes any datagram goes on, and what it sends can be
-// read by another.
+// FuzzReceive checks that a member which receives any authenticated datagram keeps
+// working, and that the datagrams it sends can be decoded.
 func FuzzReceive(f *testing.F) {
 	key := make([]byte, 32)
 	sealed, _ := SealDatagram(key, samplePacket())
@@ -108,8 +108,8 @@
 	relayed, _ := SealDatagram(key, membership.Packet{Kind: membership.PacketPing + 2, From: "b", FromAddress: "127.0.0.1:2", Target: "c", TargetAddress: "127.0.0.1:3", Digest: -1})
 	f.Add(relayed[1+macBytes:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		whole := append([]byte{ProtocolVersion}, authenticate(key, body)...)
-		packet, err := OpenDatagram(key, append(whole, body...))
+		framed := append([]byte{ProtocolVersion}, authenticate(key, body)...)
+		packet, err := OpenDatagram(key, append(framed, body...))
 		if err != nil {
 			return
 		}
@@ -131,9 +131,9 @@
 	})
 }
 
-// TestDatagramsBeforeTheStartAreLost: peers may be heard, and answered, before
-// the own socket is open.
-func TestDatagramsBeforeTheStartAreLost(t *testing.T) {
+// TestSendBeforeStartDropsDatagram checks that sending before the UDP socket is open
+// does not panic. Packets can arrive, and be answered, that early.
+func TestSendBeforeStartDropsDatagram(t *testing.T) {
 	transport := NewTransport("a", "127.0.0.1:0", make([]byte, 32), slog.New(slog.DiscardHandler))
 	require.NotPanics(t, func() { transport.SendDatagram(membership.Datagram{Address: "127.0.0.1:1", Packet: samplePacket()}) })
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,32 +16,34 @@
 	"topazpulley/internal/failure"
 )
 
-// silentTime is how long a link may leave a call without any answer before it is
-// given up: connections can go silent without a reset while new ones work. Calls
-// that are held by design end within two seconds.
-const silentTime = 2500 * time.Millisecond
+// silenceTimeout is how long calls on a link may be outstanding without any answer
+// before the link is closed. Connections can stop passing data without a reset while
+// new ones work. It has to exceed the time for which a handler may delay its answer,
+// two seconds.
+const silenceTimeout = 2500 * time.Millisecond
 
-// link is the calling side of one connection. mutex guards connection,
-// pending, broken and askedAt.
+// link is the calling side of one connection. mutex guards connection, nextID,
+// pending, isBroken and unansweredSince.
 type link struct {
 	address    string
 	connection gnet.Conn
 	nonce      []byte
 	challenge  []byte
 	isOpen     bool
-	ready      chan struct{}
-	failed     chan struct{}
+	// ready is closed after the handshake, failed when the link breaks.
+	ready  chan struct{}
+	failed chan struct{}
 
-	mutex   sync.Mutex
-	nextID  int64
-	pending map[int64]chan envelope
-	broken  bool
-	// askedAt is when the first call was made since anything was last heard; zero
-	// means that nothing is waited for.
-	askedAt time.Time
+	mutex    sync.Mutex
+	nextID   int64
+	pending  map[int64]chan envelope
+	isBroken bool
+	// unansweredSince is when the first call after the last answer was sent. It is zero
+	// while no call is outstanding.
+	unansweredSince time.Time
 }
 
-// linkEvents handles the traffic of all links.
+// linkEvents handles the gnet events of all links.
 type linkEvents struct {
 	gnet.BuiltinEventEngine
 	transport *Transport
@@ -49,48 +51,51 @@
 
 // OnTraffic implements gnet.EventHandler.
 func (e *linkEvents) OnTraffic(connection gnet.Conn) gnet.Action {
-	held, ok := connection.Context().(*link)
+	peerLink, ok := connection.Context().(*link)
 	if !ok {
 		return gnet.Close
 	}
-	return readFrames(connection, func(body []byte) bool { return e.transport.clientFrame(held, connection, body) })
+	return readFrames(connection, func(body []byte) bool { return e.transport.handleClientFrame(peerLink, connection, body) })
 }
 
 // OnClose implements gnet.EventHandler.
 func (e *linkEvents) OnClose(connection gnet.Conn, _ error) gnet.Action {
-	if held, ok := connection.Context().(*link); ok {
-		e.transport.dropLink(held)
+	if peerLink, ok := connection.Context().(*link); ok {
+		e.transport.removeLink(peerLink)
 	}
 	return gnet.None
 }
 
-func (t *Transport) clientFrame(held *link, connection gnet.Conn, body []byte) bool {
+// handleClientFrame handles a frame on the calling side: the challenge, the confirmation
+// of the hello, then answers. It returns false to close the connection.
+func (t *Transport) handleClientFrame(peerLink *link, connection gnet.Conn, body []byte) bool {
 	switch {
-	case held.challenge == nil:
-		return t.answerChallenge(held, connection, body)
-	case !held.isOpen:
-		expected := authenticate(t.key, held.nonce, held.challenge)
+	case peerLink.challenge == nil:
+		return t.answerChallenge(peerLink, connection, body)
+	case !peerLink.isOpen:
+		expected := authenticate(t.key, peerLink.nonce, peerLink.challenge)
 		if subtle.ConstantTimeCompare(expected, body) != 1 {
 			t.refused.Add(1)
 			return false
 		}
-		held.isOpen = true
-		close(held.ready)
+		peerLink.isOpen = true
+		close(peerLink.ready)
 		return true
 	}
 	answer := envelope{}
 	if avrocodec.Unmarshal(envelopeSchema, body, &answer) != nil {
 		return false
 	}
-	held.deliver(answer)
+	peerLink.deliver(answer)
 	return true
 }
 
-func (t *Transport) answerChallenge(held *link, connection gnet.Conn, challenge []byte) bool {
-	held.challenge = challenge
-	held.setConnection(connection)
-	opening := hello{Version: ProtocolVersion, Name: t.name, Nonce: held.nonce}
-	opening.MAC = authenticate(t.key, challenge, held.nonce, []byte(t.name))
+// answerChallenge sends the hello.
+func (t *Transport) answerChallenge(peerLink *link, connection gnet.Conn, challenge []byte) bool {
+	peerLink.challenge = challenge
+	peerLink.setConnection(connection)
+	opening := hello{Version: ProtocolVersion, Name: t.name, Nonce: peerLink.nonce}
+	opening.MAC = authenticate(t.key, challenge, peerLink.nonce, []byte(t.name))
 	encoded, err := avro.Marshal(helloSchema, opening)
 	if err != nil {
 		return false
@@ -99,34 +104,36 @@
 	return err == nil
 }
 
+// deliver passes an answer to its call.
 func (l *link) deliver(answer envelope) {
 	l.mutex.Lock()
-	waiting, known := l.pending[answer.ID]
+	answers, known := l.pending[answer.ID]
 	delete(l.pending, answer.ID)
-	l.askedAt = time.Time{}
+	l.unansweredSince = time.Time{}
 	if len(l.pending) > 0 {
-		l.askedAt = time.Now()
+		l.unansweredSince = time.Now()
 	}
 	l.mutex.Unlock()
 	if known {
-		waiting <- answer
+		answers <- answer
 	}
 }
 
-// register reserves an id for a call. It fails on a broken link.
+// register returns an id and an answer channel for a call, or false if the link is
+// broken.
 func (l *link) register() (int64, chan envelope, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.broken {
+	if l.isBroken {
 		return 0, nil, false
 	}
-	if l.askedAt.IsZero() {
-		l.askedAt = time.Now()
+	if l.unansweredSince.IsZero() {
+		l.unansweredSince = time.Now()
 	}
 	l.nextID++
-	waiting := make(chan envelope, 1)
-	l.pending[l.nextID] = waiting
-	return l.nextID, waiting, true
+	answers := make(chan envelope, 1)
+	l.pending[l.nextID] = answers
+	return l.nextID, answers, true
 }
 
 func (l *link) unregister(id int64) {
@@ -135,109 +142,108 @@
 	delete(l.pending, id)
 }
 
-// isSilent reports whether calls on the link have gone without any answer for too
-// long.
+// isSilent reports whether calls have been outstanding without any answer for
+// silenceTimeout.
 func (l *link) isSilent(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return !l.askedAt.IsZero() && now.Sub(l.askedAt) >= silentTime
+	return !l.unansweredSince.IsZero() && now.Sub(l.unansweredSince) >= silenceTimeout
 }
 
-// dropLink forgets a link and fails its pending calls by closing their
-// channels.
-func (t *Transport) dropLink(held *link) {
+// removeLink removes a link and fails its pending calls by closing their channels.
+func (t *Transport) removeLink(peerLink *link) {
 	t.mutex.Lock()
-	if t.links[held.address] == held {
-		delete(t.links, held.address)
+	if t.links[peerLink.address] == peerLink {
+		delete(t.links, peerLink.address)
 	}
 	t.mutex.Unlock()
-	held.mutex.Lock()
-	defer held.mutex.Unlock()
-	if !held.broken {
-		close(held.failed)
+	peerLink.mutex.Lock()
+	defer peerLink.mutex.Unlock()
+	if !peerLink.isBroken {
+		close(peerLink.failed)
 	}
-	held.broken = true
-	for id, waiting := range held.pending {
-		close(waiting)
-		delete(held.pending, id)
+	peerLink.isBroken = true
+	for id, answers := range peerLink.pending {
+		close(answers)
+		delete(peerLink.pending, id)
 	}
 }
 
-// connect returns the open link to an address, dialling if there is none.
+// connect returns the link to an address after its handshake. It dials if there is none.
 func (t *Transport) connect(ctx context.Context, address string) (*link, error) {
-	held, err := t.linkTo(address)
+	peerLink, err := t.linkTo(address)
 	if err != nil {
 		return nil, err
 	}
 	timer := time.NewTimer(dialTimeout + handshakeTimeout)
 	defer timer.Stop()
 	select {
-	case <-held.ready:
-		return held, nil
-	case <-held.failed:
+	case <-peerLink.ready:
+		return peerLink, nil
+	case <-peerLink.failed:
 		return nil, peerUnreachable(address).WithNotRun()
 	case <-ctx.Done():
 	case <-timer.C:
-		t.closeLink(held)
+		t.closeLink(peerLink)
 	}
 	return nil, peerUnreachable(address)
 }
 
-func (t *Transport) closeLink(held *link) {
-	if connection := held.opened(); connection != nil {
+func (t *Transport) closeLink(peerLink *link) {
+	if connection := peerLink.currentConnection(); connection != nil {
 		_ = connection.Close()
 	}
-	t.dropLink(held)
+	t.removeLink(peerLink)
 }
 
 func peerUnreachable(address string) *failure.Error {
 	return failure.New(failure.KindUnavailable, "peer_unreachable", "daemon at %s cannot be reached", address)
 }
 
-// linkTo returns the link to an address, opening one in the background if
-// there is none.
+// linkTo returns the link to an address. If there is none, it opens one in the
+// background.
 func (t *Transport) linkTo(address string) (*link, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if held, exists := t.links[address]; exists {
-		return held, nil
+	if peerLink, exists := t.links[address]; exists {
+		return peerLink, nil
 	}
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	held := &link{address: address, nonce: nonce, ready: make(chan struct{}), failed: make(chan struct{}), pending: map[int64]chan envelope{}}
-	t.links[address] = held
-	go t.openLink(held)
-	return held, nil
+	peerLink := &link{address: address, nonce: nonce, ready: make(chan struct{}), failed: make(chan struct{}), pending: map[int64]chan envelope{}}
+	t.links[address] = peerLink
+	go t.openLink(peerLink)
+	return peerLink, nil
 }
 
-func (t *Transport) openLink(held *link) {
-	connection, err := t.dial(held.address, held)
+func (t *Transport) openLink(peerLink *link) {
+	connection, err := t.dial(peerLink.address, peerLink)
 	if err != nil {
-		t.log.Debug("peer_dial_failed", "peer", held.address, "error", err)
-		t.dropLink(held)
+		t.log.Debug("peer_dial_failed", "peer", peerLink.address, "error", err)
+		t.removeLink(peerLink)
 		return
 	}
-	held.setConnection(connection)
+	peerLink.setConnection(connection)
 }
 
-// setConnection is called by whoever learns of the connection first: the
-// dialling goroutine or the event loop that receives the challenge.
+// setConnection sets the link's connection. Both the dialling goroutine and the event
+// loop that receives the challenge call it, in either order.
 func (l *link) setConnection(connection gnet.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.connection = connection
 }
 
-func (l *link) opened() gnet.Conn {
+func (l *link) currentConnection() gnet.Conn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.connection
 }
 
-// dial connects from the daemon's own IP number, by which others know it.
-func (t *Transport) dial(address string, held *link) (gnet.Conn, error) {
+// dial connects to an address from the IP address on which the daemon listens.
+func (t *Transport) dial(address string, peerLink *link) (gnet.Conn, error) {
 	host, _, err := net.SplitHostPort(t.address)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -247,7 +253,7 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	enrolled, err := t.dialer.EnrollContext(connection, held)
+	enrolled, err := t.dialer.EnrollContext(connection, peerLink)
 	return enrolled, errors.WithStack(err)
 }
 
@@ -268,36 +274,36 @@
 	return reply, avrocodec.Unmarshal(reply.Schema(), answer.Body, &reply)
 }
 
-// roundTrip makes one call. A call that ends without an answer on a link that has
-// long been silent closes the link, so that the next one opens another.
+// roundTrip sends one call and waits for its answer. If the context ends first and
+// the link is silent, the link is closed, so that the next call opens a new one.
 func (t *Transport) roundTrip(ctx context.Context, address string, call envelope) (envelope, error) {
-	held, err := t.connect(ctx, address)
+	peerLink, err := t.connect(ctx, address)
 	if err != nil {
 		return envelope{}, err
 	}
-	id, waiting, usable := held.register()
+	id, answers, usable := peerLink.register()
 	if !usable {
 		return envelope{}, peerUnreachable(address)
 	}
-	defer held.unregister(id)
+	defer peerLink.unregister(id)
 	call.ID = id
 	encoded, err := encodeEnvelope(call)
 	if err != nil {
 		return envelope{}, err
 	}
-	if err := held.opened().AsyncWrite(encoded, nil); err != nil {
+	if err := peerLink.currentConnection().AsyncWrite(encoded, nil); err != nil {
 		return envelope{}, peerUnreachable(address)
 	}
 	select {
-	case answer, open := <-waiting:
+	case answer, open := <-answers:
 		if !open {
 			return envelope{}, peerUnreachable(address)
 		}
 		return answer, nil
 	case <-ctx.Done():
-		if held.isSilent(time.Now()) {
+		if peerLink.isSilent(time.Now()) {
 			t.log.Info("peer_link_silent", "peer", address, "method", call.Method)
-			t.closeLink(held)
+			t.closeLink(peerLink)
 		}
 		return envelope{}, failure.Wrap(ctx.Err(), failure.KindUnavailable, "peer_timeout", "daemon at %s did not answer in time", address)
 	}
--- a/internal/peer/log.go
+++ b/internal/peer/log.go
@@ -6,8 +6,8 @@
 	"log/slog"
 )
 
-// eventLoopLog passes gnet's log on as key=value events; its life-cycle
-// messages are for debugging only.
+// eventLoopLog writes gnet's log messages to the daemon's log. Info messages of gnet
+// are logged at debug level.
 type eventLoopLog struct{ log *slog.Logger }
 
 func (l eventLoopLog) event(level slog.Level, format string, arguments []any) {
--- a/internal/peer/silent_test.go
+++ b/internal/peer/silent_test.go
@@ -14,23 +14,23 @@
 	"topazpulley/internal/peer"
 )
 
-// swallowing is a proxy whose present connections can fall silent, while later
-// ones work.
-type swallowing struct {
+// mutingProxy is a TCP proxy. Its open connections can be muted: they stay open and drop
+// all data. Connections opened later work.
+type mutingProxy struct {
 	listener net.Listener
 	mutex    sync.Mutex
-	// back and forth are the open connections towards callers and towards the target.
-	back, forth []*silenced
+	// toCaller and toTarget are the open connections to callers and to the target.
+	toCaller, toTarget []*mutableConnection
 }
 
-// silenced passes bytes on until it is muted.
-type silenced struct {
+// mutableConnection is a connection that drops written bytes while isMuted is set.
+type mutableConnection struct {
 	net.Conn
 	mutex   sync.Mutex
 	isMuted bool
 }
 
-func (s *silenced) Write(bytes []byte) (int, error) {
+func (s *mutableConnection) Write(bytes []byte) (int, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.isMuted {
@@ -39,11 +39,12 @@
 	return s.Conn.Write(bytes)
 }
 
-func newSwallowing(t *testing.T, target string) *swallowing {
+// newMutingProxy starts a proxy to target.
+func newMutingProxy(t *testing.T, target string) *mutingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &swallowing{listener: listener}
+	proxy := &mutingProxy{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -51,41 +52,41 @@
 			if err != nil {
 				return
 			}
-			onward, err := net.Dial("tcp", target)
+			upstream, err := net.Dial("tcp", target)
 			if err != nil {
 				_ = accepted.Close()
 				continue
 			}
-			back, forth := &silenced{Conn: accepted}, &silenced{Conn: onward}
-			made.mutex.Lock()
-			made.back, made.forth = append(made.back, back), append(made.forth, forth)
-			made.mutex.Unlock()
-			go func() { _, _ = io.Copy(forth, accepted) }()
-			go func() { _, _ = io.Copy(back, onward) }()
+			toCaller, toTarget := &mutableConnection{Conn: accepted}, &mutableConnection{Conn: upstream}
+			proxy.mutex.Lock()
+			proxy.toCaller, proxy.toTarget = append(proxy.toCaller, toCaller), append(proxy.toTarget, toTarget)
+			proxy.mutex.Unlock()
+			go func() { _, _ = io.Copy(toTarget, accepted) }()
+			go func() { _, _ = io.Copy(toCaller, upstream) }()
 		}
 	}()
-	return made
+	return proxy
 }
 
-// muteBack makes all present connections silent towards the caller.
-func (s *swallowing) muteBack() {
+// muteToCaller mutes all open connections to callers.
+func (s *mutingProxy) muteToCaller() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	mute(s.back)
+	setMuted(s.toCaller)
 }
 
-// muteForth makes all present connections silent towards the target.
-func (s *swallowing) muteForth() {
+// muteToTarget mutes all open connections to the target.
+func (s *mutingProxy) muteToTarget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	mute(s.forth)
+	setMuted(s.toTarget)
 }
 
-func mute(directions []*silenced) {
-	for _, each := range directions {
-		each.mutex.Lock()
-		each.isMuted = true
-		each.mutex.Unlock()
+func setMuted(connections []*mutableConnection) {
+	for _, connection := range connections {
+		connection.mutex.Lock()
+		connection.isMuted = true
+		connection.mutex.Unlock()
 	}
 }
 
@@ -102,24 +103,23 @@
 	return transport, address
 }
 
-// TestSilentLinkIsReplaced: a connection that falls silent without a reset fails
-// calls for a bounded time only; the next call opens another. So it is when answers
-// are lost, when calls are, and when both.
+// TestSilentLinkIsReplaced checks that a connection which stops passing data without a
+// reset is replaced: if answers are lost, if calls are, and if both are.
 func TestSilentLinkIsReplaced(t *testing.T) {
-	for name, silence := range map[string]func(*swallowing){
-		"answers":   (*swallowing).muteBack,
-		"calls":     (*swallowing).muteForth,
-		"both ways": func(proxy *swallowing) { proxy.muteBack(); proxy.muteForth() },
+	for name, mute := range map[string]func(*mutingProxy){
+		"answers":   (*mutingProxy).muteToCaller,
+		"calls":     (*mutingProxy).muteToTarget,
+		"both ways": func(proxy *mutingProxy) { proxy.muteToCaller(); proxy.muteToTarget() },
 	} {
-		t.Run(name, func(t *testing.T) { requireSilentLinkIsReplaced(t, silence) })
+		t.Run(name, func(t *testing.T) { requireSilentLinkIsReplaced(t, mute) })
 	}
 }
 
-func requireSilentLinkIsReplaced(t *testing.T, silence func(*swallowing)) {
+func requireSilentLinkIsReplaced(t *testing.T, mute func(*mutingProxy)) {
 	t.Helper()
 	_, target := startTransport(t, "b")
 	caller, _ := startTransport(t, "a")
-	proxy := newSwallowing(t, target)
+	proxy := newMutingProxy(t, target)
 	call := func() error {
 		bounded, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
@@ -127,7 +127,7 @@
 		return err
 	}
 	require.Eventually(t, func() bool { return call() == nil }, 10*time.Second, 10*time.Millisecond)
-	silence(proxy)
+	mute(proxy)
 	require.Error(t, call())
 	require.Eventually(t, func() bool { return call() == nil }, 10*time.Second, 50*time.Millisecond)
 }
--- a/internal/peer/stop_test.go
+++ b/internal/peer/stop_test.go
@@ -10,12 +10,13 @@
 	"topazpulley/internal/peer"
 )
 
-// listeners is more than the descriptors that one transport has.
-const listeners = 32
+// listenerCount exceeds the number of file descriptors of one transport, so that the
+// listeners reuse the numbers of all that it closed.
+const listenerCount = 32
 
-// TestSecondStopClosesNothingOfOthers: a daemon may be stopped and then killed;
-// descriptors that were opened in between stay open.
-func TestSecondStopClosesNothingOfOthers(t *testing.T) {
+// TestSecondStopClosesNoOtherDescriptors checks that a second Stop does not close file
+// descriptors that were opened after the first.
+func TestSecondStopClosesNoOtherDescriptors(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := probe.Addr().String()
@@ -24,7 +25,7 @@
 	require.NoError(t, transport.Start())
 	transport.Stop()
 	opened := []net.Listener{}
-	for range listeners {
+	for range listenerCount {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer func() { _ = listener.Close() }()
@@ -39,7 +40,7 @@
 			}
 		}()
 		accepted, err := listener.Accept()
-		require.NoError(t, err, "a descriptor of somebody else was closed")
+		require.NoError(t, err, "Stop closed a descriptor that it does not own")
 		_ = accepted.Close()
 	}
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -26,14 +26,15 @@
 	bootTimeout      = 5 * time.Second
 	handshakeTimeout = 2 * time.Second
 	dialTimeout      = time.Second
-	maxCallsAtOnce   = 256
+	// maxConcurrentCalls is how many calls the daemon answers at a time; further ones fail.
+	maxConcurrentCalls = 256
 )
 
-// handler answers one method's calls with encoded bodies.
+// handler decodes and answers the calls of one method. from is the caller's name.
 type handler func(ctx context.Context, from string, body []byte) ([]byte, error)
 
-// Transport is the daemon's end of the peer protocol: a gnet engine that
-// serves UDP and TCP on one address, and connections to other daemons.
+// Transport serves the peer protocol over UDP and TCP on one address and keeps one
+// connection (link) to each daemon that is called.
 type Transport struct {
 	gnet.BuiltinEventEngine
 
@@ -47,21 +48,22 @@
 	booted   chan error
 	engine   gnet.Engine
 	stopOnce sync.Once
-	// udp is set once the transport has started; datagrams that come or go
-	// before are lost.
+	// udp is set by Start. Datagrams sent before are dropped.
 	udp     atomic.Pointer[net.UDPConn]
 	context context.Context
 	cancel  context.CancelFunc
-	limit   chan struct{}
+	// callSlots holds an element for each call that is being answered.
+	callSlots chan struct{}
 
-	dialer  *gnet.Client
-	mutex   sync.Mutex
+	dialer *gnet.Client
+	mutex  sync.Mutex
+	// links is guarded by mutex.
 	links   map[string]*link
 	refused atomic.Uint64
 }
 
-// NewTransport makes a transport for the daemon's name and listen address. Methods
-// must be registered with Handle before Start.
+// NewTransport returns a transport for the daemon's name, listen address and cluster
+// key. Methods must be registered with Handle before Start.
 func NewTransport(name, address string, key []byte, log *slog.Logger) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
@@ -69,8 +71,8 @@
 		handlers: map[string]handler{},
 		booted:   make(chan error, 1),
 		context:  ctx, cancel: cancel,
-		limit: make(chan struct{}, maxCallsAtOnce),
-		links: map[string]*link{},
+		callSlots: make(chan struct{}, maxConcurrentCalls),
+		links:     map[string]*link{},
 	}
 }
 
@@ -90,14 +92,15 @@
 	}
 }
 
-// OnPacket sets the receiver of authenticated datagrams. It is called from the
-// event loop and must not block.
+// OnPacket sets the function that receives authenticated packets. It is called from
+// the event loop and must not block. Set it before Start.
 func (t *Transport) OnPacket(receive func(membership.Packet)) { t.onPacket = receive }
 
-// Refused returns how many datagrams and connections failed authentication.
+// Refused returns how many datagrams and connections failed authentication or were
+// malformed.
 func (t *Transport) Refused() uint64 { return t.refused.Load() }
 
-// Start serves until Stop. It returns once the listeners are bound.
+// Start starts to listen and serve. It returns when the listeners are bound.
 func (t *Transport) Start() error {
 	go func() {
 		err := gnet.Rotate(t, []string{"tcp://" + t.address, "udp://" + t.address},
@@ -115,7 +118,7 @@
 			return failure.Wrap(err, failure.KindUnavailable, "peer_listen", "cannot listen on %s: choose a free address", t.address)
 		}
 	case <-time.After(bootTimeout):
-		return failure.New(failure.KindUnavailable, "peer_listen", "listening on %s took too long", t.address)
+		return failure.New(failure.KindUnavailable, "peer_listen", "listener on %s did not start in time", t.address)
 	}
 	if err := t.openUDP(); err != nil {
 		return err
@@ -132,8 +135,8 @@
 	return errors.WithStack(dialer.Start())
 }
 
-// openUDP duplicates the listening socket, so that datagrams leave from the
-// address on which they are answered.
+// openUDP duplicates the listening UDP socket, so that datagrams are sent from the
+// listen address.
 func (t *Transport) openUDP() error {
 	descriptor, err := t.engine.DupListener("udp", t.address)
 	if err != nil {
@@ -149,9 +152,9 @@
 	return nil
 }
 
-// Stop closes all listeners and connections. Further calls do nothing: gnet's
-// client closes its descriptors by number at each stop, and by then the numbers
-// may belong to others.
+// Stop closes all listeners and connections. Further calls do nothing: gnet's client
+// closes its file descriptors by number at each stop, and the numbers may have been
+// reused by then.
 func (t *Transport) Stop() { t.stopOnce.Do(t.stop) }
 
 func (t *Transport) stop() {
@@ -167,7 +170,7 @@
 	_ = t.engine.Stop(deadline)
 }
 
-// SendDatagram seals and sends a packet. Loss is not reported.
+// SendDatagram seals and sends a packet. Errors of resolving and sending are ignored.
 func (t *Transport) SendDatagram(datagram membership.Datagram) {
 	udp := t.udp.Load()
 	if udp == nil {
@@ -192,29 +195,29 @@
 	return gnet.None
 }
 
-// serverSide is the state of an accepted connection.
-type serverSide struct {
+// serverConnection is the state of an accepted connection. isOpen is set after the handshake.
+type serverConnection struct {
 	nonce    []byte
 	peerName string
 	isOpen   bool
 }
 
-// OnOpen implements gnet.EventHandler: it challenges the caller.
+// OnOpen implements gnet.EventHandler. It sends a random challenge.
 func (t *Transport) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce)
-	connection.SetContext(&serverSide{nonce: nonce})
+	connection.SetContext(&serverConnection{nonce: nonce})
 	return frame(nonce), gnet.None
 }
 
 // OnTraffic implements gnet.EventHandler.
 func (t *Transport) OnTraffic(connection gnet.Conn) gnet.Action {
-	side, isStream := connection.Context().(*serverSide)
+	side, isStream := connection.Context().(*serverConnection)
 	if !isStream {
 		t.receiveDatagram(connection)
 		return gnet.None
 	}
-	return readFrames(connection, func(body []byte) bool { return t.serverFrame(connection, side, body) })
+	return readFrames(connection, func(body []byte) bool { return t.handleServerFrame(connection, side, body) })
 }
 
 func (t *Transport) receiveDatagram(connection gnet.Conn) {
@@ -232,11 +235,11 @@
 	}
 }
 
-// readFrames passes every complete frame to accept and closes the connection
-// when accept declines or a frame is too long.
+// readFrames passes the body of each complete frame to accept. It closes the
+// connection if accept returns false or a frame exceeds maxFrameBytes.
 func readFrames(connection gnet.Conn, accept func(body []byte) bool) gnet.Action {
 	for {
-		head, err := connection.Peek(frameHeadBytes)
+		head, err := connection.Peek(frameHeaderBytes)
 		if err != nil {
 			return gnet.None
 		}
@@ -244,21 +247,23 @@
 		if length > maxFrameBytes {
 			return gnet.Close
 		}
-		if connection.InboundBuffered() < frameHeadBytes+length {
+		if connection.InboundBuffered() < frameHeaderBytes+length {
 			return gnet.None
 		}
-		whole, err := connection.Next(frameHeadBytes + length)
+		framed, err := connection.Next(frameHeaderBytes + length)
 		if err != nil {
 			return gnet.Close
 		}
-		body := append([]byte(nil), whole[frameHeadBytes:]...)
+		body := append([]byte(nil), framed[frameHeaderBytes:]...)
 		if !accept(body) {
 			return gnet.Close
 		}
 	}
 }
 
-func (t *Transport) serverFrame(connection gnet.Conn, side *serverSide, body []byte) bool {
+// handleServerFrame handles a frame on the answering side: the hello, then calls. It returns
+// false to close the connection.
+func (t *Transport) handleServerFrame(connection gnet.Conn, side *serverConnection, body []byte) bool {
 	if !side.isOpen {
 		return t.acceptHello(connection, side, body)
 	}
@@ -270,7 +275,8 @@
 	return true
 }
 
-func (t *Transport) acceptHello(connection gnet.Conn, side *serverSide, body []byte) bool {
+// acceptHello verifies the hello and sends the confirmation.
+func (t *Transport) acceptHello(connection gnet.Conn, side *serverConnection, body []byte) bool {
 	opening := hello{}
 	err := avrocodec.Unmarshal(helloSchema, body, &opening)
 	expected := authenticate(t.key, side.nonce, opening.Nonce, []byte(opening.Name))
@@ -300,12 +306,13 @@
 	_ = connection.AsyncWrite(encoded, nil)
 }
 
+// dispatch runs the handler of a call unless too many calls are running.
 func (t *Transport) dispatch(from string, call envelope) ([]byte, error) {
 	select {
-	case t.limit <- struct{}{}:
-		defer func() { <-t.limit }()
+	case t.callSlots <- struct{}{}:
+		defer func() { <-t.callSlots }()
 	default:
-		return nil, failure.New(failure.KindOverloaded, "peer_busy", "too many peer calls at once").WithNotRun()
+		return nil, failure.New(failure.KindOverloaded, "peer_busy", "too many concurrent peer calls").WithNotRun()
 	}
 	answer, known := t.handlers[call.Method]
 	if !known {
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -232,7 +232,7 @@
 mutant nothing_given_back internal/serving/admit.go \
 	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
 mutant silent_link_kept internal/peer/link.go \
-	'if held.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
+	'if peerLink.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
 mutant every_refusal_promises internal/runrecord/runrecord.go \
 	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunIsTrueAfterUnknownAttempts'
 mutant sends_not_noted internal/serving/exchange.go \
