--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the process settings of a daemon: its addresses, its
-// zone, where the platform is and which keys it trusts. Settings belong to one
-// process; what the whole fleet shares stands in the bundle instead.
+// Package settings reads and validates the settings file of a daemon: its addresses,
+// its zone, the address of the platform or store, and its keys. Settings apply to one
+// process; configuration shared by the fleet is in the bundle.
 package settings
 
 import (
@@ -37,125 +37,123 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Settings is the typed form of the settings file.
+// Settings holds the values of the settings file.
 type Settings struct {
 	// Name identifies the daemon; it is unique in the fleet.
 	Name string `toml:"name"`
-	// Zone is the failure domain of the machine.
+	// Zone is the failure domain that the machine is in.
 	Zone string `toml:"zone"`
-	// Region groups zones.
+	// Region is the group of zones that the machine is in.
 	Region string `toml:"region"`
-	// HTTPAddress is the IP:port of the callers' and operators' listener.
+	// HTTPAddress is the IP:port of the listener for callers and operators.
 	HTTPAddress string `toml:"http_address"`
 	// PeerAddress is the IP:port for UDP membership and TCP peer calls.
 	PeerAddress string `toml:"peer_address"`
-	// AdvertiseAddress is the IP:port that other daemons are told; it is
-	// PeerAddress when empty.
+	// AdvertiseAddress is the IP:port at which other daemons reach PeerAddress.
+	// Validate sets it to PeerAddress if empty.
 	AdvertiseAddress string `toml:"advertise_address"`
 	// PlatformURL is the base address of the table, object and machine services.
 	PlatformURL string `toml:"platform_url"`
-	// StoreAddress is the IP:port of a store that holds configuration,
-	// discovery and jobs. When it is set, the daemon answers callers on
-	// HTTPAddress by the protocol of the platform that runs the store, and
-	// PlatformURL and the operators' settings are not used.
+	// StoreAddress is the IP:port of the platform's store of configuration,
+	// discovery and jobs. If it is set, the daemon serves callers on HTTPAddress
+	// by that platform's protocol, and PlatformURL and the operator settings are
+	// not used.
 	StoreAddress string `toml:"store_address"`
-	// ReadyAddress is the IP:port at which the daemon says whether it may get
-	// requests; used with StoreAddress.
+	// ReadyAddress is the IP:port of the readiness endpoint; used with
+	// StoreAddress.
 	ReadyAddress string `toml:"ready_address"`
-	// MetricsAddress is the IP:port of the metrics; used with StoreAddress.
-	MetricsAddress string `toml:"metrics_address"`
-	// StopGrace is the longest time that a planned stop may take; used with
+	// MetricsAddress is the IP:port of the metrics endpoint; used with
 	// StoreAddress.
+	MetricsAddress string `toml:"metrics_address"`
+	// StopGrace limits the duration of a planned stop; used with StoreAddress.
 	StopGrace Duration `toml:"stop_grace"`
-	// MemoryMegabytes is the memory that the process may use; 0 means no
-	// bound.
+	// MemoryMegabytes limits the memory of the process; 0 means no limit.
 	MemoryMegabytes int `toml:"memory_megabytes"`
-	// HeldSubmissionsShare is the part of MemoryMegabytes that submissions of jobs may
-	// take which are held while the store is away; 0 holds none and tries each by itself.
+	// HeldSubmissionsShare is the share of MemoryMegabytes for job submissions that are
+	// buffered while the store is unavailable. With 0 none is buffered and each is
+	// sent to the store separately.
 	HeldSubmissionsShare float64 `toml:"held_submissions_share"`
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `toml:"log_level"`
-	// Seeds are peer addresses to join when the machine list is unreachable.
+	// Seeds are peer addresses to join if the machine list is unavailable.
 	Seeds []string `toml:"seeds"`
-	// ClusterKey authenticates daemons to each other: 32 bytes in hexadecimal.
+	// ClusterKey is the key by which daemons authenticate each other: 32 bytes in
+	// hexadecimal.
 	ClusterKey string `toml:"cluster_key"`
-	// OperatorKeys are the Ed25519 public keys, in hexadecimal by operator
-	// name, whose signatures on a bundle count.
+	// OperatorKeys maps operator names to the Ed25519 public keys, in
+	// hexadecimal, that may sign a bundle.
 	OperatorKeys map[string]string `toml:"operator_keys"`
-	// RequiredSignatures is how many operators must sign a bundle.
+	// RequiredSignatures is the number of operators that must sign a bundle.
 	RequiredSignatures int `toml:"required_signatures"`
-	// OperatorToken admits operators' calls over HTTP.
+	// OperatorToken authorizes operators' calls over HTTP.
 	OperatorToken string `toml:"operator_token"`
-	// TLSCertificateFile and TLSKeyFile switch TLS 1.3 on when both are set.
+	// TLSCertificateFile and TLSKeyFile enable TLS 1.3 if both are set.
 	TLSCertificateFile string `toml:"tls_certificate_file"`
 	TLSKeyFile         string `toml:"tls_key_file"`
-	// RateWindow, RateToleranceShare and RateToleranceRequests tell by how much the
-	// requests of a tenant may pass its limit: by a part of what the limit allows
-	// in any window of that length, and by some requests.
+	// RateWindow, RateToleranceShare and RateToleranceRequests set by how much a
+	// tenant may exceed its limit: in any window of length RateWindow, by
+	// RateToleranceShare of the requests that the limit allows in it plus
+	// RateToleranceRequests.
 	RateWindow            Duration `toml:"rate_window"`
 	RateToleranceShare    float64  `toml:"rate_tolerance_share"`
 	RateToleranceRequests float64  `toml:"rate_tolerance_requests"`
-	// RevocationBound is how long after a key was taken away no daemon may serve
-	// it any more, whether or not it has heard of that; 0 means no bound. Used
-	// with StoreAddress.
+	// RevocationBound is the longest time for which a revoked key is still
+	// accepted, also by a daemon that has not received the revocation; 0 means no
+	// limit. Used with StoreAddress.
 	RevocationBound Duration `toml:"revocation_bound"`
-	// QuarantineCrashes is how many backends must have ended under a request for it
-	// to be sent to no further one, and QuarantineTime how long that holds.
+	// QuarantineCrashes is the number of backends that have to crash while they run
+	// a request for it to be quarantined, and QuarantineTime is how long it stays so.
 	QuarantineCrashes int      `toml:"quarantine_crashes"`
 	QuarantineTime    Duration `toml:"quarantine_time"`
-	// ResponseTimeouts is how long a repeatable request waits for a silent backend: by
-	// what the service's answers take ("learned"), for half of its objective ("fixed"),
-	// or for three objectives, four with a stream ("objectives").
+	// ResponseTimeouts is how the response timeout of a repeatable request is set: from
+	// the measured response times of the service ("learned"), as half of the objective
+	// ("fixed"), or as three objectives, four for a stream ("objectives").
 	ResponseTimeouts string `toml:"silence_patience"`
-	// WaitingOrder tells in what order online requests get places while there are too
-	// few: WaitingOrderFleet or WaitingOrderNone.
+	// WaitingOrder is the order in which online requests get slots under overload:
+	// WaitingOrderFleet or WaitingOrderNone.
 	WaitingOrder string `toml:"waiting_order"`
-	// BatchCapacity is the policy of the room for batch items: "free", "once", "reserve" or "rhythm".
+	// BatchCapacity is the policy for the capacity that batch items may use: "free",
+	// "once", "reserve" or "rhythm".
 	BatchCapacity batchcapacity.Policy `toml:"batch_room"`
 	// ProbeInterval is the time between two membership probes.
 	ProbeInterval Duration `toml:"probe_interval"`
-	// StopLinger is how long a stopping daemon goes on accepting requests.
+	// StopLinger is how long a stopping daemon still accepts requests.
 	StopLinger Duration `toml:"stop_linger"`
-	// PlatformOperationsPerSecond bounds the daemon's calls to the platform.
+	// PlatformOperationsPerSecond limits the daemon's calls to the platform.
 	PlatformOperationsPerSecond float64 `toml:"platform_operations_per_second"`
-	// MaxConnections bounds concurrent callers' connections.
+	// MaxConnections limits the concurrent connections of callers.
 	MaxConnections int `toml:"max_connections"`
-	// MaxBodyBytes bounds one request body.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int `toml:"max_body_bytes"`
 }
 
-// The orders of waiting.
+// The values of Settings.WaitingOrder.
 const (
-	// WaitingOrderFleet has requests that cannot be in time any more make way for
-	// those that can, by what all daemons tell.
+	// WaitingOrderFleet gives slots to requests that can still be on time before
+	// overdue ones, by the queue stats of all daemons.
 	WaitingOrderFleet = "fleet"
-	// WaitingOrderNone has each request ask for a place by itself.
+	// WaitingOrderNone has each request attempt to get a slot independently.
 	WaitingOrderNone = "none"
 )
 
 const (
-	clusterKeyBytes       = 32
-	defaultProbeInterval  = Duration(time.Second)
-	defaultStopLinger     = Duration(2 * time.Second)
-	defaultStopGrace      = Duration(8 * time.Second)
-	defaultOperations     = 50
-	defaultMaxConnections = 4096
-	defaultMaxBodyBytes   = 64 << 20
-	// What tenants may pass their limits by, unless the operator says otherwise.
-	defaultRateWindow            = Duration(5 * time.Second)
-	defaultRateToleranceShare    = 0.1
-	defaultRateToleranceRequests = 20
-	// Three ends of different backends with no good end between them are hardly
-	// chance; ten minutes let an engineer see the request and mend its cause.
-	defaultQuarantineCrashes = 3
-	// A twentieth of 144 MB holds some sixteen jobs of 150 KB, the mean; in an outage of
-	// seven seconds a daemon gets one or two.
-	defaultHeldSubmissionsShare = 0.05
-	mostHeldSubmissionsShare    = 0.5
-	defaultQuarantineTime       = Duration(10 * time.Minute)
+	clusterKeyBytes                    = 32
+	defaultProbeInterval               = Duration(time.Second)
+	defaultStopLinger                  = Duration(2 * time.Second)
+	defaultStopGrace                   = Duration(8 * time.Second)
+	defaultPlatformOperationsPerSecond = 50
+	defaultMaxConnections              = 4096
+	defaultMaxBodyBytes                = 64 << 20
+	defaultRateWindow                  = Duration(5 * time.Second)
+	defaultRateToleranceShare          = 0.1
+	defaultRateToleranceRequests       = 20
+	defaultQuarantineCrashes           = 3
+	defaultHeldSubmissionsShare        = 0.05
+	maxHeldSubmissionsShare            = 0.5
+	defaultQuarantineTime              = Duration(10 * time.Minute)
 )
 
-// Default returns settings with every optional value filled in.
+// Default returns the default settings. Required values are empty.
 func Default() Settings {
 	return Settings{
 		RequiredSignatures:          1,
@@ -163,7 +161,7 @@
 		StopLinger:                  defaultStopLinger,
 		StopGrace:                   defaultStopGrace,
 		LogLevel:                    "info",
-		PlatformOperationsPerSecond: defaultOperations,
+		PlatformOperationsPerSecond: defaultPlatformOperationsPerSecond,
 		MaxConnections:              defaultMaxConnections,
 		MaxBodyBytes:                defaultMaxBodyBytes,
 		RateWindow:                  defaultRateWindow,
@@ -178,8 +176,9 @@
 	}
 }
 
-// Load reads a settings file over the defaults. An unknown key, a wrong type
-// or a wrong unit is an error that names the key and the line.
+// Load reads a settings file; values that it does not set have their defaults. An
+// unknown key, a wrong type or a wrong unit is an error with the line number. The
+// settings are not validated.
 func Load(path string) (Settings, error) {
 	loaded := Default()
 	text, err := os.ReadFile(path)
@@ -192,12 +191,12 @@
 	return loaded, nil
 }
 
-// DecodeStrict decodes TOML into target and refuses unknown keys. Errors carry
-// the line.
+// DecodeStrict decodes TOML into target and rejects unknown keys. Errors carry the
+// line number.
 func DecodeStrict(text string, target any) error {
 	metadata, err := toml.Decode(text, target)
 	if err != nil {
-		return decodeFailure(err)
+		return decodeError(err)
 	}
 	undecoded := metadata.Undecoded()
 	if len(undecoded) == 0 {
@@ -209,7 +208,7 @@
 		"line %d: unknown key %q: remove it or correct its spelling", line, key.String()).WithLine(line)
 }
 
-func decodeFailure(err error) error {
+func decodeError(err error) error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		return failure.Wrap(err, failure.KindInvalid, "bad_toml", "line %d: correct the value or syntax", parse.Position.Line).WithLine(parse.Position.Line)
@@ -218,12 +217,13 @@
 	return failure.Wrap(err, failure.KindInvalid, "bad_toml", "line %d: correct the value's type or unit", line).WithLine(line)
 }
 
-// typeErrorLine finds the line in the decoder's errors about types, which carry
-// it in their text only.
-var typeErrorLine = regexp.MustCompile(`line (\d+)`)
+// lineNumberPattern matches the line number in the decoder's type errors, which have it
+// only in their text.
+var lineNumberPattern = regexp.MustCompile(`line (\d+)`)
 
+// lineInMessage returns the line number in an error message, or 0.
 func lineInMessage(message string) int {
-	match := typeErrorLine.FindStringSubmatch(message)
+	match := lineNumberPattern.FindStringSubmatch(message)
 	if match == nil {
 		return 0
 	}
@@ -234,7 +234,8 @@
 	return line
 }
 
-// lineOfKey finds the first line that assigns the last part of the key.
+// lineOfKey returns the number of the first line that starts with the last part of
+// the key or ends with it after a dot, or 0.
 func lineOfKey(text string, key toml.Key) int {
 	last := key[len(key)-1]
 	for index, line := range strings.Split(text, "\n") {
@@ -246,13 +247,14 @@
 	return 0
 }
 
-// Validate checks every value and says which key to change.
+// Validate checks all values. The error names the key and a remedy. Validate sets an
+// empty AdvertiseAddress to PeerAddress.
 func (s *Settings) Validate() error {
 	if s.Name == "" {
 		return invalid("name", "give the daemon a unique name")
 	}
 	if s.Zone == "" {
-		return invalid("zone", "name the zone this machine stands in")
+		return invalid("zone", "give the zone of this machine")
 	}
 	if s.AdvertiseAddress == "" {
 		s.AdvertiseAddress = s.PeerAddress
@@ -290,7 +292,7 @@
 	return nil
 }
 
-// validateLimits checks what the operator allows tenants.
+// validateLimits checks the rate, quarantine, timeout, batch and revocation settings.
 func (s *Settings) validateLimits() error {
 	if s.RateWindow <= 0 {
 		return invalid("rate_window", "give a positive duration")
@@ -313,8 +315,7 @@
 	return nil
 }
 
-// validateServices checks what the daemon needs to know of its store or of the
-// platform's services.
+// validateServices checks the platform or store, stop, memory and log settings.
 func (s *Settings) validateServices() error {
 	if s.PlatformURL == "" && s.StoreAddress == "" {
 		return invalid("platform_url", "give the platform's base address, such as \"http://127.0.0.1:7000\", or store_address")
@@ -328,7 +329,7 @@
 	if s.MemoryMegabytes < 0 {
 		return invalid("memory_megabytes", "give a positive number, or 0 for no bound")
 	}
-	if s.HeldSubmissionsShare < 0 || s.HeldSubmissionsShare > mostHeldSubmissionsShare {
+	if s.HeldSubmissionsShare < 0 || s.HeldSubmissionsShare > maxHeldSubmissionsShare {
 		return invalid("held_submissions_share", "give a number from 0 to 0.5")
 	}
 	var level slog.Level
@@ -339,27 +340,27 @@
 }
 
 func (s *Settings) validateAddresses() error {
-	named := []address{
+	addresses := []address{
 		{"http_address", s.HTTPAddress},
 		{"peer_address", s.PeerAddress},
 		{"advertise_address", s.AdvertiseAddress},
 	}
 	if s.StoreAddress != "" {
-		named = append(named, address{"store_address", s.StoreAddress}, address{"ready_address", s.ReadyAddress}, address{"metrics_address", s.MetricsAddress})
+		addresses = append(addresses, address{"store_address", s.StoreAddress}, address{"ready_address", s.ReadyAddress}, address{"metrics_address", s.MetricsAddress})
 	}
-	for _, each := range named {
-		host, _, err := net.SplitHostPort(each.value)
+	for _, setting := range addresses {
+		host, _, err := net.SplitHostPort(setting.value)
 		if err != nil || net.ParseIP(host) == nil {
-			return invalid(each.key, "give an address by IP number, such as \"127.0.0.1:8080\"")
+			return invalid(setting.key, "give an address by IP number, such as \"127.0.0.1:8080\"")
 		}
 	}
 	return nil
 }
 
-// address is a setting that holds an address.
+// address is the key and value of a setting that holds an address.
 type address struct{ key, value string }
 
-// ClusterKeyBytes returns the decoded cluster key. Validate has checked it.
+// ClusterKeyBytes returns the decoded cluster key of validated settings.
 func (s *Settings) ClusterKeyBytes() []byte {
 	key, _ := hex.DecodeString(s.ClusterKey)
 	return key
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"topazpulley/internal/settings"
 )
 
-const good = `name = "a"
+const valid = `name = "a"
 zone = "z"
 http_address = "127.0.0.1:1"
 peer_address = "127.0.0.1:2"
@@ -31,38 +31,38 @@
 	return loaded, loaded.Validate()
 }
 
-func TestGoodSettings(t *testing.T) {
-	loaded, err := load(t, good)
+func TestValidSettings(t *testing.T) {
+	loaded, err := load(t, valid)
 	require.NoError(t, err)
 	require.Equal(t, loaded.PeerAddress, loaded.AdvertiseAddress)
 	require.Len(t, loaded.ClusterKeyBytes(), 32)
 }
 
-func TestBadSettingsSayWhatToChange(t *testing.T) {
+func TestInvalidSettingIsNamed(t *testing.T) {
 	cases := map[string]struct{ old, new, mentions string }{
-		"unknown key":    {`name = "a"`, "name = \"a\"\nnonsense = 1", "line 2"},
-		"wrong type":     {`name = "a"`, "name = 7", "line 1"},
-		"wrong unit":     {`zone = "z"`, "zone = \"z\"\nprobe_interval = \"5\"", "line 3"},
-		"host name":      {"127.0.0.1:1", "localhost:1", "http_address"},
-		"odd patience":   {`zone = "z"`, "zone = \"z\"\nsilence_patience = \"long\"", "silence_patience"},
-		"held too much":  {`zone = "z"`, "zone = \"z\"\nheld_submissions_share = 0.7", "held_submissions_share"},
-		"short key":      {"000102", "00", "cluster_key"},
-		"no zone":        {`zone = "z"`, "", "zone"},
-		"half of TLS":    {`zone = "z"`, "zone = \"z\"\ntls_key_file = \"x\"", "tls_certificate_file"},
-		"no such order":  {`zone = "z"`, "zone = \"z\"\nwaiting_order = \"first\"", "waiting_order"},
-		"batch room":     {`zone = "z"`, "zone = \"z\"\nbatch_room = \"some\"", "batch_room"},
-		"too many signs": {`zone = "z"`, "zone = \"z\"\nrequired_signatures = 3", "required_signatures"},
+		"unknown key":          {`name = "a"`, "name = \"a\"\nnonsense = 1", "line 2"},
+		"wrong type":           {`name = "a"`, "name = 7", "line 1"},
+		"wrong unit":           {`zone = "z"`, "zone = \"z\"\nprobe_interval = \"5\"", "line 3"},
+		"host name":            {"127.0.0.1:1", "localhost:1", "http_address"},
+		"unknown timeout mode": {`zone = "z"`, "zone = \"z\"\nsilence_patience = \"long\"", "silence_patience"},
+		"held share over 0.5":  {`zone = "z"`, "zone = \"z\"\nheld_submissions_share = 0.7", "held_submissions_share"},
+		"short key":            {"000102", "00", "cluster_key"},
+		"no zone":              {`zone = "z"`, "", "zone"},
+		"half of TLS":          {`zone = "z"`, "zone = \"z\"\ntls_key_file = \"x\"", "tls_certificate_file"},
+		"unknown order":        {`zone = "z"`, "zone = \"z\"\nwaiting_order = \"first\"", "waiting_order"},
+		"unknown batch policy": {`zone = "z"`, "zone = \"z\"\nbatch_room = \"some\"", "batch_room"},
+		"too many signatures":  {`zone = "z"`, "zone = \"z\"\nrequired_signatures = 3", "required_signatures"},
 	}
-	for name, each := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := load(t, strings.Replace(good, each.old, each.new, 1))
+			_, err := load(t, strings.Replace(valid, test.old, test.new, 1))
 			require.True(t, failure.Is(err, failure.KindInvalid))
-			require.Contains(t, err.Error(), each.mentions)
+			require.Contains(t, err.Error(), test.mentions)
 		})
 	}
 }
 
-// TestEverySettingIsDocumented keeps the operators' table complete.
+// TestEverySettingIsDocumented checks that docs/OPERATIONS.md has each key of Settings.
 func TestEverySettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
