--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,5 +1,6 @@
-// Package rollout decides in which order the engines of a service move to a
-// new configuration revision. It is pure; supervisors send the orders.
+// Package rollout decides in which order the engines of a service move to a new
+// configuration revision. It has no state and no side effects; supervisors send the
+// orders to the engines.
 package rollout
 
 import "sort"
@@ -9,16 +10,16 @@
 	Name string
 	// Fence is the revision that the engine has accepted.
 	Fence int64
-	// Ready tells that the engine serves.
+	// Ready reports that the engine serves requests.
 	Ready bool
-	// UpToDate tells that the models it serves are those of the target.
+	// UpToDate reports that the loaded models are those of the target revision.
 	UpToDate bool
 }
 
-// NextWave returns the engines that may be ordered to the target revision now.
-// Engines that do not serve cost nothing and all go at once, as do those whose
-// models stay the same. Of the serving ones, no more go than keeps the number
-// of unavailable engines within the bound.
+// NextWave returns the names of the engines that may be ordered to the target revision
+// now. It includes all engines that are not ready and all whose models stay the same,
+// as ordering them takes no engine out of service. Of the other ready engines, it
+// includes as many as keep the number of unavailable engines within maxUnavailable.
 func NextWave(engines []Engine, target int64, maxUnavailable int) []string {
 	wave := []string{}
 	candidates := []string{}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,11 +10,11 @@
 	"topazpulley/internal/rollout"
 )
 
-// TestWaveKeepsTheBound: a wave never takes more serving engines out than the
-// bound leaves, and a rollout always comes to its end.
-func TestWaveKeepsTheBound(t *testing.T) {
+// TestWaveKeepsUnavailableLimit checks that a wave does not take more ready engines out of
+// service than the limit allows, and that a rollout completes.
+func TestWaveKeepsUnavailableLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := rapid.IntRange(1, 4).Draw(t, "bound")
+		limit := rapid.IntRange(1, 4).Draw(t, "limit")
 		engines := []rollout.Engine{}
 		for index := range rapid.IntRange(1, 12).Draw(t, "engines") {
 			engines = append(engines, rollout.Engine{
@@ -23,8 +23,8 @@
 			})
 		}
 		for range 2 * len(engines) {
-			wave := rollout.NextWave(engines, 5, bound)
-			requireWithinBound(t, engines, wave, bound)
+			wave := rollout.NextWave(engines, 5, limit)
+			requireWithinLimit(t, engines, wave, limit)
 			for index := range engines {
 				for _, name := range wave {
 					if engines[index].Name == name {
@@ -34,21 +34,21 @@
 				engines[index].Ready = true
 			}
 		}
-		require.Empty(t, rollout.NextWave(engines, 5, bound), "the rollout ends")
+		require.Empty(t, rollout.NextWave(engines, 5, limit), "the rollout has completed")
 	})
 }
 
-func requireWithinBound(t *rapid.T, engines []rollout.Engine, wave []string, bound int) {
-	unavailable, taken := 0, 0
+func requireWithinLimit(t *rapid.T, engines []rollout.Engine, wave []string, limit int) {
+	unavailable, removed := 0, 0
 	for _, engine := range engines {
 		if !engine.Ready {
 			unavailable++
 		}
 		for _, name := range wave {
 			if engine.Name == name && engine.Ready && !engine.UpToDate {
-				taken++
+				removed++
 			}
 		}
 	}
-	require.LessOrEqual(t, taken, max(bound-unavailable, 0))
+	require.LessOrEqual(t, removed, max(limit-unavailable, 0))
 }
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -81,7 +81,7 @@
 mutant no_leaving_check internal/registry/registry.go \
 	'!e.Machine.Leaving && ' '' internal/routing 'TestChosenEngineIsEligible|TestLeavingEngineIsNotChosen'
 mutant no_wave_bound internal/rollout/rollout.go \
-	'min(free, len(candidates))' 'max(free, len(candidates))' internal/rollout TestWaveKeepsTheBound
+	'min(free, len(candidates))' 'max(free, len(candidates))' internal/rollout TestWaveKeepsUnavailableLimit
 mutant no_guard internal/admission/window.go \
 	'if pressure > w.guard {' 'if false {' internal/admission TestWindowIsZeroAboveTheGuard
 mutant no_seeds_after_start internal/membership/probe.go \
