--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -351,7 +351,7 @@
 	for _, setting := range addresses {
 		host, _, err := net.SplitHostPort(setting.value)
 		if err != nil || net.ParseIP(host) == nil {
-			return invalid(setting.key, "give an address by IP number, such as \"127.0.0.1:8080\"")
+			return invalid(setting.key, "give an IP address and port, such as \"127.0.0.1:8080\"")
 		}
 	}
 	return nil
--- a/internal/supervisor/dispatch.go
+++ b/internal/supervisor/dispatch.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	resumeTries = 4
+	maxResumeAttempts = 4
+	// resumePause is the time between two attempts to resume.
 	resumePause = 300 * time.Millisecond
 )
 
-// dispatch starts batch items while the window has room.
+// dispatch starts batch items while the window has free slots and dispatch is not
+// paused.
 func (l *engineLoop) dispatch(view registry.Engine) {
 	for {
 		if time.Now().Before(l.pausedUntil()) {
 			return
 		}
-		if !l.hasRoom() {
+		if !l.hasFreeSlot() {
 			return
 		}
 		task, found := l.supervisor.worker.Take(view.Machine.Service)
@@ -34,25 +36,26 @@
 	}
 }
 
-func (l *engineLoop) hasRoom() bool {
+func (l *engineLoop) hasFreeSlot() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return !l.stopped && len(l.running) < l.window.Size()
+	return !l.isStopped && len(l.running) < l.window.Size()
 }
 
 func (l *engineLoop) pausedUntil() time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.batchPausedTo
+	return l.batchPausedUntil
 }
 
-// pause holds batch dispatch back after the engine failed or refused.
-func (l *engineLoop) pause() {
+// pauseBatch pauses batch dispatch for batchPauseTime.
+func (l *engineLoop) pauseBatch() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.batchPausedTo = time.Now().Add(batchPause)
+	l.batchPausedUntil = time.Now().Add(batchPauseTime)
 }
 
+// start runs an item in a goroutine and then dispatches more.
 func (l *engineLoop) start(view registry.Engine, task *batch.Task) {
 	ctx, cancel := context.WithCancel(task.Context())
 	item := &runningItem{task: task, cancel: cancel}
@@ -75,22 +78,24 @@
 	l.running = slices.DeleteFunc(l.running, func(other *runningItem) bool { return other == item })
 }
 
+// runItem runs an item, or resumes one that was sent earlier and may not be repeated.
 func (l *engineLoop) runItem(ctx context.Context, view registry.Engine, task *batch.Task) {
 	if task.Item.MayRepeat() {
 		l.runRepeatable(ctx, view, task)
 		return
 	}
 	if task.Earlier != nil {
-		l.resumeOnly(ctx, task, *task.Earlier)
+		l.resume(ctx, task, *task.Earlier)
 		return
 	}
 	l.runOnce(ctx, view, task)
 }
 
-// runRepeatable runs an item that may be cancelled, continued and run again.
+// runRepeatable runs an item that may be cancelled and sent again. An item with
+// tokens from an earlier attempt is continued.
 func (l *engineLoop) runRepeatable(ctx context.Context, view registry.Engine, task *batch.Task) {
 	attemptID := task.AttemptID()
-	l.noteSent(task, batch.Intent{Engine: l.name, Address: view.Machine.Address, AttemptID: attemptID}, serving.KindOfSend(task.Attempts, int64(len(task.Tokens))))
+	l.logSent(task, batch.Intent{Engine: l.name, Address: view.Machine.Address, AttemptID: attemptID}, serving.KindOfSend(task.Attempts, int64(len(task.Tokens))))
 	stream, err := l.supervisor.engines.Generate(ctx, view.Machine.Address, requestFor(task, attemptID))
 	if err == nil {
 		var end engine.Event
@@ -100,12 +105,12 @@
 			return
 		}
 	}
-	l.retryLater(ctx, task, err)
+	l.handleFailure(ctx, task, err)
 }
 
-// noteSent logs where an attempt comes from before it leaves: an engine knows the
-// attempt's id only.
-func (l *engineLoop) noteSent(task *batch.Task, sent batch.Intent, kind serving.SendKind) {
+// logSent logs the job, the item and the epoch of an attempt before it is sent. The
+// engine gets only the attempt's id.
+func (l *engineLoop) logSent(task *batch.Task, sent batch.Intent, kind serving.SendKind) {
 	l.supervisor.log.Info("item_sent", "job", task.Job(), "item", task.RequestID(), "attempt_id", sent.AttemptID, "engine", sent.Engine,
 		"address", sent.Address, "epoch", task.Epoch(), "attempt", task.Attempts, "kind", string(kind))
 }
@@ -117,11 +122,11 @@
 	}
 }
 
-// collect reads a stream to its end, keeping the tokens in the task.
+// collect reads a stream to its end and appends the tokens to the task.
 func collect(ctx context.Context, stream *engine.Stream, task *batch.Task) (engine.Event, error) {
 	release := stream.Close
 	if !task.Item.MayRepeat() {
-		release = stream.Detach // cancelling would lose the only attempt
+		release = stream.Detach // closing would cancel the only attempt
 	}
 	defer release()
 	for {
@@ -139,9 +144,11 @@
 	}
 }
 
-// retryLater gives the task back. Only attempts that broke off count against
-// it; refusals and preemptions do not.
-func (l *engineLoop) retryLater(ctx context.Context, task *batch.Task, err error) {
+// handleFailure handles a failed attempt of a repeatable item. The task fails if it is
+// invalid, quarantined or has failed maxItemFailures times, and finishes if it has all
+// its tokens; otherwise it goes back to the worker. Only attempts with an unknown
+// outcome count as failures; refusals and preemptions do not.
+func (l *engineLoop) handleFailure(ctx context.Context, task *batch.Task, err error) {
 	if engine.CodeOf(err) == engine.CodeQuarantined {
 		l.failQuarantined(task)
 		return
@@ -152,7 +159,7 @@
 	}
 	wasPreempted := ctx.Err() != nil
 	if !wasPreempted {
-		l.pause()
+		l.pauseBatch()
 	}
 	if !wasPreempted && engine.OutcomeOf(err) == engine.OutcomeUnknown {
 		task.Failures++
@@ -169,23 +176,24 @@
 	l.supervisor.worker.GiveBack(task)
 }
 
-// failQuarantined ends an item that is sent to no engine any more.
+// failQuarantined fails an item that is quarantined.
 func (l *engineLoop) failQuarantined(task *batch.Task) {
 	l.supervisor.log.Info("batch_item_quarantined", "request", task.RequestID(), "failures", task.Failures)
-	l.supervisor.worker.Fail(task, failure.New(failure.KindEngineFailed, engine.CodeQuarantined, "engines ended while they ran this item"))
+	l.supervisor.worker.Fail(task, failure.New(failure.KindEngineFailed, engine.CodeQuarantined, "engines crashed while they ran this item"))
 }
 
-// runOnce runs an item that may not be repeated: the intent is durable before
-// the item is sent, and after that it is only ever resumed.
+// runOnce runs an item that may not be repeated. The intent is written to the store
+// before the item is sent. After that the item is only resumed, unless the engine
+// reports that it did not run it.
 func (l *engineLoop) runOnce(ctx context.Context, view registry.Engine, task *batch.Task) {
 	intent := batch.Intent{Item: task.Index, Engine: l.name, Address: view.Machine.Address, AttemptID: task.AttemptID(), Replaces: task.Refused}
 	if err := l.supervisor.worker.RecordIntent(ctx, task, intent); err != nil {
-		l.pause()
-		l.settleIntent(ctx, task, intent, err)
+		l.pauseBatch()
+		l.handleIntentFailure(ctx, task, intent, err)
 		return
 	}
 	task.Earlier = &intent
-	l.noteSent(task, intent, serving.KindOfSend(task.Attempts, 0))
+	l.logSent(task, intent, serving.KindOfSend(task.Attempts, 0))
 	stream, err := l.supervisor.engines.Generate(ctx, view.Machine.Address, requestFor(task, intent.AttemptID))
 	if err != nil && engine.OutcomeOf(err) == engine.OutcomeInvalid {
 		l.supervisor.worker.Fail(task, err)
@@ -202,15 +210,15 @@
 		return
 	}
 	if engine.OutcomeOf(err) == engine.OutcomeNotRun {
-		l.pause()
+		l.pauseBatch()
 		task.Earlier, task.Refused = nil, intent.AttemptID
 		l.supervisor.worker.GiveBack(task)
 		return
 	}
-	l.resumeOnly(ctx, task, intent)
+	l.resume(ctx, task, intent)
 }
 
-// collectAndFinish reads a stream to its end and hands the result over.
+// collectAndFinish reads a stream to its end and passes the result to the worker.
 func (l *engineLoop) collectAndFinish(ctx context.Context, stream *engine.Stream, task *batch.Task) error {
 	end, err := collect(ctx, stream, task)
 	if err != nil {
@@ -220,9 +228,10 @@
 	return nil
 }
 
-// settleIntent handles an intent whose write failed. Nothing was sent, but the
-// write may have taken effect, so a later owner would not send it either.
-func (l *engineLoop) settleIntent(ctx context.Context, task *batch.Task, intent batch.Intent, err error) {
+// handleIntentFailure handles an intent whose write failed. The item was not sent. The
+// write may have taken effect, though; then a later owner does not send the item
+// either.
+func (l *engineLoop) handleIntentFailure(ctx context.Context, task *batch.Task, intent batch.Intent, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -230,12 +239,12 @@
 	l.supervisor.worker.GiveBack(task)
 }
 
-// resumeOnly attaches to an attempt that may have run; when the engine does
-// not know it, the outcome stays unknown and the item is never sent again.
-func (l *engineLoop) resumeOnly(ctx context.Context, task *batch.Task, intent batch.Intent) {
-	for range resumeTries {
+// resume reads the output of an attempt that may have run. If the engine does not
+// have it, the item fails with an unknown outcome and is not sent again.
+func (l *engineLoop) resume(ctx context.Context, task *batch.Task, intent batch.Intent) {
+	for range maxResumeAttempts {
 		task.Tokens = nil
-		l.noteSent(task, intent, serving.SendResumption)
+		l.logSent(task, intent, serving.SendResumption)
 		stream, err := l.supervisor.engines.Resume(ctx, intent.Address, intent.AttemptID, 0)
 		if err == nil {
 			err = l.collectAndFinish(ctx, stream, task)
--- a/internal/supervisor/engineloop.go
+++ b/internal/supervisor/engineloop.go
@@ -13,8 +13,8 @@
 	"topazpulley/internal/registry"
 )
 
-// engineLoop supervises one engine. The fields above mutex belong to the probing
-// goroutine; mutex guards those below it.
+// engineLoop supervises one engine. mutex guards the fields below it. The probe fields
+// between cancel and ordering are used only by the goroutine that runs run.
 type engineLoop struct {
 	supervisor *Supervisor
 	name       string
@@ -25,17 +25,19 @@
 	lastRecordAt time.Time
 	lastLoad     registry.LoadRecord
 	lastLoadAt   time.Time
-	// ordering is held while an order is on its way.
+	// ordering is locked while an order is being sent.
 	ordering sync.Mutex
 
-	mutex         sync.Mutex
-	window        *admission.BatchWindow
-	batchPausedTo time.Time
-	stopped       bool
-	running       []*runningItem
+	mutex sync.Mutex
+	// window limits the batch items that run on the engine at a time.
+	window           *admission.BatchWindow
+	batchPausedUntil time.Time
+	isStopped        bool
+	// running holds the items in the order in which they were started.
+	running []*runningItem
 }
 
-// runningItem is a batch item in flight on the engine.
+// runningItem is a batch item that runs on the engine.
 type runningItem struct {
 	task   *batch.Task
 	cancel context.CancelFunc
@@ -45,14 +47,15 @@
 	return &engineLoop{supervisor: supervisor, name: name, window: admission.NewBatchWindow(0, 0)}
 }
 
-// run probes the engine and keeps its batch window filled.
+// run probes the engine and dispatches batch items until the context ends.
 func (l *engineLoop) run() {
 	l.probe()
 	periodic.Run(l.context, probeInterval, l.probe)
 	l.stopBatch()
 }
 
-// probe reads the engine's load report and acts on it.
+// probe reads the engine's load report, publishes its record and load, adjusts the
+// batch window, sends a configuration order if one is due and dispatches batch items.
 func (l *engineLoop) probe() {
 	view, known := l.supervisor.registry.Engine(l.name)
 	if !known || view.Machine.Address == "" {
@@ -76,16 +79,19 @@
 	l.dispatch(view)
 }
 
-func permille(part, whole int) int {
-	if whole == 0 {
+// permille returns part in thousandths of total.
+func permille(part, total int) int {
+	if total == 0 {
 		return 0
 	}
-	return part * 1000 / whole
+	return part * 1000 / total
 }
 
+// probeFailed counts a failed probe. After downAfterFailedProbes in a row it publishes
+// the engine as down and closes the batch window.
 func (l *engineLoop) probeFailed(view registry.Engine) {
 	l.failedProbes++
-	if l.failedProbes < failedProbesDown {
+	if l.failedProbes < downAfterFailedProbes {
 		return
 	}
 	record := view.Record
@@ -98,34 +104,35 @@
 	l.window.Observe(0, 0, time.Now())
 }
 
-// observe updates the batch window and cancels items beyond it.
+// observe updates the batch window from a load report, cancels items in excess of it
+// and returns its size.
 func (l *engineLoop) observe(view registry.Engine, report engine.LoadReport) int {
 	policy, isModelService := l.supervisor.holder.BatchPolicy(view.Machine.Service)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	canServe := isModelService && report.State == engine.StateReady && !view.Machine.Leaving && len(report.Models) > 0 && !l.stopped
+	canServe := isModelService && report.State == engine.StateReady && !view.Machine.Leaving && len(report.Models) > 0 && !l.isStopped
 	if canServe {
 		l.window.SetPolicy(policy.BatchWindowMax, policy.BatchGuard)
 	} else {
 		l.window.SetPolicy(0, 0)
 	}
 	size := l.window.Observe(report.OnlineRunning, report.OnlineWaiting, time.Now())
-	l.trim(size)
+	l.cancelExcess(size)
 	return size
 }
 
-// yield takes a gateway's hint; items beyond the shrunken window are cancelled
-// at once.
-func (l *engineLoop) yield(online int) {
+// applyHint shrinks the batch window for a number of online requests and cancels items
+// in excess of it.
+func (l *engineLoop) applyHint(online int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.window.Hint(online, time.Now())
-	l.trim(l.window.Size())
+	l.cancelExcess(l.window.Size())
 }
 
-// trim cancels the newest items beyond the window. Items that may not be
-// repeated run on. mutex is held.
-func (l *engineLoop) trim(size int) {
+// cancelExcess cancels the newest items in excess of size. Items that may not be
+// repeated are not cancelled. The caller holds mutex.
+func (l *engineLoop) cancelExcess(size int) {
 	excess := len(l.running) - size
 	for index := len(l.running) - 1; index >= 0 && excess > 0; index-- {
 		if l.running[index].task.Item.MayRepeat() {
@@ -144,18 +151,18 @@
 func (l *engineLoop) stopBatch() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.stopped = true
+	l.isStopped = true
 	for _, item := range l.running {
 		item.cancel()
 	}
 }
 
-// publishRecord spreads the engine's state when it differs from what the zone
-// believes, which another supervisor may have spread, and from time to time. A
-// change for the worse is urgent.
+// publishRecord publishes the engine's record if it differs from the zone's, which may
+// come from another supervisor, and every recordRefreshInterval. A record of an engine
+// that is down or not ready is urgent.
 func (l *engineLoop) publishRecord(view registry.Engine, record registry.EngineRecord) {
 	isSame := view.Known && record.Equal(view.Record)
-	if isSame && time.Since(l.lastRecordAt) < recordRefresh {
+	if isSame && time.Since(l.lastRecordAt) < recordRefreshInterval {
 		return
 	}
 	priority := membership.PriorityState
@@ -169,24 +176,25 @@
 	}
 }
 
-// publishLoad spreads the load when it changed and the interval has passed.
+// publishLoad publishes the load at most once per load interval: if it changed, or if
+// the last was published four intervals ago.
 func (l *engineLoop) publishLoad(load registry.LoadRecord) {
 	interval := LoadInterval(len(l.supervisor.registry.Engines()))
-	isQuiet := load == l.lastLoad && time.Since(l.lastLoadAt) < 4*interval
-	if isQuiet || time.Since(l.lastLoadAt) < interval {
+	isFresh := load == l.lastLoad && time.Since(l.lastLoadAt) < 4*interval
+	if isFresh || time.Since(l.lastLoadAt) < interval {
 		return
 	}
 	l.lastLoad, l.lastLoadAt = load, time.Now()
 	l.publish(registry.PrefixLoad, membership.PriorityLoad, load.Encode())
 }
 
-// publish spreads an item in the zone, this daemon included.
+// publish publishes an item to all members of the zone, this daemon included.
 func (l *engineLoop) publish(prefix string, priority membership.Priority, payload []byte) {
 	l.supervisor.node.Publish(membership.Item{Key: prefix + l.name, Zone: l.supervisor.node.Self().Zone, Priority: priority, Payload: payload})
 }
 
-// order sends the active configuration to the engine when the rollout's wave
-// includes it.
+// order sends the active configuration to the engine if the engine has an older
+// revision and the rollout's wave includes it.
 func (l *engineLoop) order(view registry.Engine, report engine.LoadReport) {
 	current, active := l.supervisor.holder.Current()
 	if active == nil || report.Fence >= current.Number || !l.supervisor.waves.includes(view.Machine.Service, current.Number, l.name) {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,6 +1,7 @@
-// Package supervisor runs the duties that one daemon of a zone has for each of
-// the zone's engines: probing, spreading health and load, ordering
-// configurations and dispatching batch items within the engine's window.
+// Package supervisor supervises engines. One daemon of the zone is assigned to each
+// engine by rendezvous hashing. It probes the engine, publishes its health and load to
+// the zone, orders configuration revisions and dispatches batch items within the
+// engine's batch window.
 package supervisor
 
 import (
@@ -25,29 +26,33 @@
 	reconcileInterval = 200 * time.Millisecond
 	probeInterval     = 250 * time.Millisecond
 	probeTimeout      = 600 * time.Millisecond
-	failedProbesDown  = 2
-	recordRefresh     = 2 * time.Minute
-	loadIntervalFloor = 500 * time.Millisecond
-	// loadIntervalPerEngine stretches the load interval with the number of
-	// engines in the zone, which keeps gossip within its byte budget.
+	// downAfterFailedProbes is the number of consecutive failed probes after which an
+	// engine is published as down.
+	downAfterFailedProbes = 2
+	recordRefreshInterval = 2 * time.Minute
+	minLoadInterval       = 500 * time.Millisecond
+	// loadIntervalPerEngine is the load interval per engine in the zone, which
+	// keeps gossip within its byte limit.
 	loadIntervalPerEngine = 50 * time.Millisecond
-	batchPause            = 200 * time.Millisecond
-	// maxItemFailures is how often an item may break off before it ends as
-	// failed: it is the item, then, and not the engines.
+	// batchPauseTime is how long batch dispatch to an engine pauses after it failed
+	// or refused an item.
+	batchPauseTime = 200 * time.Millisecond
+	// maxItemFailures is the number of attempts with an unknown outcome after which
+	// an item fails.
 	maxItemFailures = 20
 )
 
-// EngineDuty is the rendezvous key of an engine.
+// EngineDuty returns the rendezvous key by which an engine is assigned to a daemon.
 func EngineDuty(name string) string { return "engine/" + name }
 
-// LoadInterval is the least time between two load records of one engine in a
-// zone with a number of engines.
+// LoadInterval returns the least time between two load records of one engine in a
+// zone with zoneEngines engines.
 func LoadInterval(zoneEngines int) time.Duration {
-	return max(loadIntervalFloor, time.Duration(zoneEngines)*loadIntervalPerEngine)
+	return max(minLoadInterval, time.Duration(zoneEngines)*loadIntervalPerEngine)
 }
 
-// Supervisor supervises the engines whose duty falls to this daemon. mutex
-// guards loops.
+// Supervisor supervises the engines that are assigned to this daemon. mutex guards
+// loops.
 type Supervisor struct {
 	node     *cluster.Node
 	registry *registry.Registry
@@ -58,11 +63,13 @@
 	log      *slog.Logger
 
 	mutex sync.Mutex
+	// loops maps the names of the supervised engines to their loops.
 	loops map[string]*engineLoop
+	// group counts the running loops and items.
 	group sync.WaitGroup
 }
 
-// New makes a supervisor.
+// New returns a supervisor. Run starts it.
 func New(node *cluster.Node, engines *registry.Registry, holder *revision.Holder, client *engine.Client, worker *batch.Worker, log *slog.Logger) *Supervisor {
 	return &Supervisor{
 		node: node, registry: engines, holder: holder, engines: client, worker: worker,
@@ -70,7 +77,7 @@
 	}
 }
 
-// Receive is the membership subscriber for yield hints and rollout waves.
+// Receive handles membership events: preemption hints and rollout waves.
 func (s *Supervisor) Receive(event membership.Event) {
 	switch event.Kind {
 	case membership.EventHint:
@@ -80,8 +87,8 @@
 	}
 }
 
-// YieldItem is the hint by which a gateway tells an engine's supervisor how
-// many online requests it has on the engine.
+// YieldItem returns the preemption hint for an engine: it reports to the supervisor
+// how many online requests a daemon has on the engine.
 func YieldItem(name string, online int) membership.Item {
 	return membership.Item{Key: registry.PrefixYield + name, Payload: binary.AppendUvarint(nil, uint64(online))}
 }
@@ -97,18 +104,18 @@
 	s.Yield(strings.TrimPrefix(item.Key, registry.PrefixYield), int(online))
 }
 
-// Yield shrinks an engine's batch window for online requests that are on
-// their way.
+// Yield shrinks an engine's batch window for online requests that a daemon has on
+// the engine, and preempts batch items in excess of it.
 func (s *Supervisor) Yield(name string, online int) {
 	s.mutex.Lock()
 	loop, supervised := s.loops[name]
 	s.mutex.Unlock()
 	if supervised {
-		loop.yield(online)
+		loop.applyHint(online)
 	}
 }
 
-// Run supervises until the context ends, then waits for its loops.
+// Run supervises until the context ends, then waits for all loops and items.
 func (s *Supervisor) Run(ctx context.Context) {
 	go s.coordinateRollouts(ctx)
 	ticker := time.NewTicker(reconcileInterval)
@@ -125,26 +132,26 @@
 	}
 }
 
-// reconcile starts loops for engines that this daemon should supervise and
-// stops the others.
+// reconcile starts loops for the engines that are assigned to this daemon and stops
+// the others.
 func (s *Supervisor) reconcile(ctx context.Context) {
 	names := s.node.ZoneNames()
 	self := s.node.Self().Name
-	wanted := map[string]bool{}
+	owned := map[string]bool{}
 	for _, view := range s.registry.Engines() {
 		if duty.Owner(EngineDuty(view.Name), names) == self {
-			wanted[view.Name] = true
+			owned[view.Name] = true
 		}
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name, loop := range s.loops {
-		if !wanted[name] {
+		if !owned[name] {
 			loop.cancel()
 			delete(s.loops, name)
 		}
 	}
-	for name := range wanted {
+	for name := range owned {
 		if _, running := s.loops[name]; !running {
 			s.startLoop(ctx, name)
 		}
@@ -164,8 +171,8 @@
 	s.log.Info("engine_supervised", "engine", name)
 }
 
-// setDemand tells the worker how many items the supervised engines could run.
-// mutex is held.
+// setDemand sets the worker's demand per service to the sum of the batch windows of the
+// supervised engines. The caller holds mutex.
 func (s *Supervisor) setDemand() {
 	demand := map[string]int{}
 	for _, service := range s.holder.Services() {
@@ -192,8 +199,8 @@
 	return names
 }
 
-// StopBatch cancels all running batch items; their tasks go back to the
-// worker.
+// StopBatch cancels the running batch items of all supervised engines and stops their
+// batch dispatch. The tasks go back to the worker.
 func (s *Supervisor) StopBatch() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -202,7 +209,7 @@
 	}
 }
 
-// modelsFor returns what the engines of a service load under a bundle.
+// modelsFor returns the models that the engines of a service load under a bundle.
 func modelsFor(active *bundle.Bundle, service string) []string {
 	models := []string{}
 	for _, name := range active.Services[service].Models {
--- a/internal/supervisor/waves.go
+++ b/internal/supervisor/waves.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	prefixWave       = "wave/"
-	rolloutInterval  = 200 * time.Millisecond
-	waveRefreshAfter = 10 * time.Second
+	prefixWave          = "wave/"
+	rolloutInterval     = 200 * time.Millisecond
+	waveRefreshInterval = 10 * time.Second
 )
 
-// waveRecord is the gossip record of a rollout's present wave.
+// waveRecord is the gossiped record of the current wave of a service's rollout.
 type waveRecord struct {
 	Revision int64
 	Engines  []string
@@ -35,7 +35,8 @@
 	{"name":"Revision","type":"long"},
 	{"name":"Engines","type":{"type":"array","items":"string"}}]}`)
 
-// waves remembers the newest wave of each service.
+// waves holds the newest wave of each service and when this daemon last published it.
+// mutex guards both.
 type waves struct {
 	mutex     sync.Mutex
 	byService map[string]waveRecord
@@ -70,14 +71,15 @@
 	return wave.Revision == revision && slices.Contains(wave.Engines, name)
 }
 
-// changed reports whether a record differs from the last one sent or is due
-// for a refresh, and remembers it as sent.
-func (w *waves) changed(service string, record waveRecord) bool {
+// recordIfDue reports whether a wave has to be published: if it differs from the
+// stored one, or if it has engines and was last published waveRefreshInterval ago. A
+// wave that differs or is due for a refresh is stored as published now.
+func (w *waves) recordIfDue(service string, record waveRecord) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	last := w.byService[service]
 	isSame := last.Revision == record.Revision && slices.Equal(last.Engines, record.Engines)
-	if isSame && time.Since(w.sentAt[service]) < waveRefreshAfter {
+	if isSame && time.Since(w.sentAt[service]) < waveRefreshInterval {
 		return false
 	}
 	w.byService[service] = record
@@ -85,13 +87,13 @@
 	return !isSame || len(record.Engines) > 0
 }
 
-// coordinateRollouts computes the waves of the services in this zone whose
-// rollout duty falls to this daemon.
+// coordinateRollouts publishes the rollout waves of the services in this zone that are
+// assigned to this daemon, until the context ends.
 func (s *Supervisor) coordinateRollouts(ctx context.Context) {
-	periodic.Run(ctx, rolloutInterval, s.coordinateOnce)
+	periodic.Run(ctx, rolloutInterval, s.publishWaves)
 }
 
-func (s *Supervisor) coordinateOnce() {
+func (s *Supervisor) publishWaves() {
 	current, active := s.holder.Current()
 	if active == nil {
 		return
@@ -103,7 +105,7 @@
 		}
 		wave := rollout.NextWave(s.rolloutEngines(service, modelsFor(active, service)), current.Number, definition.MaxUnavailable)
 		record := waveRecord{Revision: current.Number, Engines: wave}
-		if !s.waves.changed(service, record) {
+		if !s.waves.recordIfDue(service, record) {
 			continue
 		}
 		payload, err := avro.Marshal(waveSchema, record)
@@ -114,6 +116,8 @@
 	}
 }
 
+// rolloutEngines returns the rollout state of a service's engines, without those that
+// are leaving or have no record. models are the models of the target revision.
 func (s *Supervisor) rolloutEngines(service string, models []string) []rollout.Engine {
 	engines := []rollout.Engine{}
 	for _, view := range s.registry.OfService(service) {
@@ -123,13 +127,14 @@
 		engines = append(engines, rollout.Engine{
 			Name: view.Name, Fence: view.Record.Fence,
 			Ready:    view.Record.Up && view.Record.State == string(engine.StateReady) && (len(view.Record.Models) > 0 || len(models) == 0),
-			UpToDate: sameModels(view, models),
+			UpToDate: hasModels(view, models),
 		})
 	}
 	return engines
 }
 
-func sameModels(view registry.Engine, models []string) bool {
+// hasModels reports whether an engine has loaded exactly these models.
+func hasModels(view registry.Engine, models []string) bool {
 	loaded := slices.Clone(view.Record.Models)
 	wanted := slices.Clone(models)
 	sort.Strings(loaded)
