--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -12,13 +12,14 @@
 // Core is the membership state machine of one daemon. It is not safe for
 // concurrent use; cluster.Node serializes access.
 type Core struct {
-	config  Config
-	self    Member
-	random  *rand.Rand
-	leaving bool
-
-	members    map[string]Member
-	changedAt  map[string]time.Time
+	config    Config
+	self      Member
+	random    *rand.Rand
+	isLeaving bool
+
+	members   map[string]Member
+	changedAt map[string]time.Time
+	// suspectEnd is when a suspect is declared dead.
 	suspectEnd map[string]time.Time
 	// ownSuspects holds the suspects whose suspicion this member raised. Each is
 	// notified directly until it refutes the suspicion or is declared dead.
@@ -31,25 +32,25 @@
 	zoneCount int
 	// live, zoneLive and otherLive are the live members other than this one, in
 	// name order: all, those of its zone, and those of other zones. They are
-	// rebuilt on the next use after liveStale is set.
+	// rebuilt on the next use after isLiveStale is set.
 	live, zoneLive, otherLive []Member
-	liveStale                 bool
+	isLiveStale               bool
 	// generation is incremented by each change of a member.
 	generation uint64
 
 	// ring is the shuffled order in which live members are probed.
-	ring        []string
-	ringIndex   int
-	sequence    int64
-	probes      map[int64]*probe
-	relays      map[int64]relay
-	nextProbe   time.Time
-	nextGossip  time.Time
-	nextRetry   time.Time
-	nextSync    time.Time
-	lastTick    time.Time
-	startedAt   time.Time
-	gossipRound int
+	ring          []string
+	ringIndex     int
+	sequence      int64
+	probes        map[int64]*probe
+	relays        map[int64]relay
+	nextProbe     time.Time
+	nextGossip    time.Time
+	nextReconnect time.Time
+	nextSync      time.Time
+	lastTick      time.Time
+	startedAt     time.Time
+	gossipRound   int
 	// healthScore rises with each probe that this member sent without an answer
 	// and falls with each answer. It lengthens the probe timeouts.
 	healthScore int
@@ -94,6 +95,7 @@
 	deadline  time.Time
 }
 
+// maxHealthScore limits Core.healthScore.
 const maxHealthScore = 4
 
 // New returns a core whose only member is self. self.Incarnation must be higher
@@ -114,7 +116,7 @@
 	}
 	core.nextProbe = now.Add(core.jitter(config.ProbeInterval))
 	core.nextGossip = now.Add(core.jitter(config.GossipInterval))
-	core.nextRetry = now
+	core.nextReconnect = now
 	core.setMember(self, now)
 	core.enqueueMember(self)
 	return core
@@ -161,10 +163,10 @@
 
 // refreshLive rebuilds the lists of live members if a member changed.
 func (c *Core) refreshLive() {
-	if !c.liveStale {
+	if !c.isLiveStale {
 		return
 	}
-	c.liveStale = false
+	c.isLiveStale = false
 	c.live, c.zoneLive, c.otherLive = c.live[:0], c.zoneLive[:0], c.otherLive[:0]
 	for name, member := range c.members {
 		if member.Live() && name != c.self.Name {
@@ -205,7 +207,7 @@
 	}
 	c.members[member.Name] = member
 	c.changedAt[member.Name] = now
-	c.liveStale = true
+	c.isLiveStale = true
 	c.generation++
 	if member.Live() {
 		c.digest ^= hashMember(member)
@@ -257,7 +259,7 @@
 func (c *Core) refute(claim Member, now time.Time) {
 	isNewerIncarnation := claim.Incarnation > c.self.Incarnation
 	isWrongState := claim.Incarnation == c.self.Incarnation && claim.State != StateAlive
-	if c.leaving || !(isNewerIncarnation || isWrongState) {
+	if c.isLeaving || !(isNewerIncarnation || isWrongState) {
 		return
 	}
 	c.self.Incarnation = claim.Incarnation + 1
@@ -276,7 +278,7 @@
 // Leave returns datagrams that announce a graceful departure to leaveFanout
 // random members.
 func (c *Core) Leave(now time.Time) []Datagram {
-	c.leaving = true
+	c.isLeaving = true
 	c.self.State = StateLeft
 	c.setMember(c.self, now)
 	c.enqueueMember(c.self)
@@ -302,8 +304,8 @@
 		out = append(out, c.startProbe(now)...)
 		out = append(out, c.notifySuspects()...)
 	}
-	if !now.Before(c.nextRetry) {
-		c.nextRetry = now.Add(c.reconnectInterval(now))
+	if !now.Before(c.nextReconnect) {
+		c.nextReconnect = now.Add(c.reconnectInterval(now))
 		out = append(out, c.reconnect(now)...)
 		c.dropExpired(now)
 	}
@@ -322,7 +324,7 @@
 		if !member.Live() && now.Sub(c.changedAt[name]) > c.config.Retention {
 			delete(c.members, name)
 			delete(c.changedAt, name)
-			c.liveStale = true
+			c.isLiveStale = true
 			c.generation++
 		}
 	}
@@ -331,7 +333,7 @@
 
 // Receive handles a packet and returns the datagrams to send in answer.
 func (c *Core) Receive(now time.Time, packet Packet) []Datagram {
-	if c.leaving && packet.Kind != PacketPing {
+	if c.isLeaving && packet.Kind != PacketPing {
 		return nil
 	}
 	for _, update := range packet.Members {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -37,8 +37,7 @@
 	// loadRetransmits is the most often that one member sends a load item. The
 	// next refresh replaces a lost one.
 	loadRetransmits = 2
-	// durableTTLFactor is the time to live of durable items, in times of that of
-	// load items.
+	// durableTTLFactor times Config.ItemTTL is the time to live of durable items.
 	durableTTLFactor = 20
 )
 
--- a/internal/membership/simulation/convergence_test.go
+++ b/internal/membership/simulation/convergence_test.go
@@ -59,17 +59,17 @@
 
 func TestSeparateGroupsMerge(t *testing.T) {
 	network := NewNetwork(smallFleet, membership.DefaultConfig(time.Second), 7)
-	network.isPartitioned = func(from, to *simulated) bool { return from.index%2 != to.index%2 }
+	network.isPartitioned = func(from, to *simulatedDaemon) bool { return from.index%2 != to.index%2 }
 	network.Run(20 * time.Second)
 	require.False(t, network.allHaveMembers(smallFleet.Daemons))
-	network.isPartitioned = func(*simulated, *simulated) bool { return false }
+	network.isPartitioned = func(*simulatedDaemon, *simulatedDaemon) bool { return false }
 	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.allHaveMembers(smallFleet.Daemons) })
 	require.True(t, ok)
 }
 
 func TestFailureAndRestartReachAllDaemons(t *testing.T) {
 	network := newConvergedNetwork(t, smallFleet, 1)
-	network.daemons[5].up = false
+	network.daemons[5].isUp = false
 	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.noneHasLive(5) })
 	require.True(t, ok)
 	network.start(network.daemons[5])
@@ -110,7 +110,7 @@
 	network.Run(5 * time.Second)
 	for _, daemon := range network.daemons {
 		if daemon.zone == 1 && daemon.index != 1 {
-			daemon.up = false
+			daemon.isUp = false
 		}
 	}
 	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return len(network.daemons[1].supervised) == len(network.enginesOf(1)) })
@@ -119,11 +119,11 @@
 
 func TestRevisionReachesZoneAfterPartition(t *testing.T) {
 	network := newConvergedNetwork(t, smallFleet, 5)
-	network.isPartitioned = func(from, to *simulated) bool { return (from.zone == 0) != (to.zone == 0) }
+	network.isPartitioned = func(from, to *simulatedDaemon) bool { return (from.zone == 0) != (to.zone == 0) }
 	network.applyRevision(network.daemons[1], 9)
 	network.Run(20 * time.Second)
 	require.Zero(t, network.daemons[0].revision)
-	network.isPartitioned = func(*simulated, *simulated) bool { return false }
+	network.isPartitioned = func(*simulatedDaemon, *simulatedDaemon) bool { return false }
 	_, ok := network.RunUntil(time.Minute, time.Second, func() bool { return network.allHaveRevision(9) })
 	require.True(t, ok)
 }
--- a/internal/membership/simulation/heal_test.go
+++ b/internal/membership/simulation/heal_test.go
@@ -12,9 +12,9 @@
 func TestPartitionedRegionRejoins(t *testing.T) {
 	topology := Topology{Daemons: 56, Engines: 88, Zones: 7, Regions: 3}
 	network := newConvergedNetwork(t, topology, 1)
-	network.isPartitioned = func(from, to *simulated) bool { return (from.region == 0) != (to.region == 0) }
+	network.isPartitioned = func(from, to *simulatedDaemon) bool { return (from.region == 0) != (to.region == 0) }
 	network.Run(90 * time.Second)
-	network.isPartitioned = func(*simulated, *simulated) bool { return false }
+	network.isPartitioned = func(*simulatedDaemon, *simulatedDaemon) bool { return false }
 	_, ok := network.RunUntil(2*time.Minute, time.Second, func() bool { return network.allHaveMembers(topology.Daemons) })
 	require.True(t, ok)
 }
--- a/internal/membership/simulation/network_test.go
+++ b/internal/membership/simulation/network_test.go
@@ -28,13 +28,13 @@
 	latencyBetweenRegions = 20 * time.Millisecond
 )
 
-// simulated is one daemon on the in-memory network.
-type simulated struct {
+// simulatedDaemon is one daemon on the in-memory network.
+type simulatedDaemon struct {
 	index       int
 	core        *membership.Core
 	zone        int
 	region      int
-	up          bool
+	isUp        bool
 	pausedUntil time.Time
 	starts      int64
 	revision    int64
@@ -89,10 +89,10 @@
 	now       time.Time
 	order     uint64
 	queue     eventQueue
-	daemons   []*simulated
-	byAddress map[string]*simulated
+	daemons   []*simulatedDaemon
+	byAddress map[string]*simulatedDaemon
 	// isPartitioned reports whether traffic from one daemon to another is dropped.
-	isPartitioned func(from, to *simulated) bool
+	isPartitioned func(from, to *simulatedDaemon) bool
 	// loss is the share of datagrams dropped at random, from 0 to 1.
 	loss float64
 	// exchanged counts the members that full exchanges carried; exchangedBetweenZones
@@ -104,7 +104,7 @@
 func NewNetwork(topology Topology, config membership.Config, seed uint64) *Network {
 	network := &Network{
 		topology: topology, config: config, random: rand.New(rand.NewPCG(seed, seed)), key: make([]byte, 32),
-		now: time.Unix(1_800_000_000, 0), byAddress: map[string]*simulated{}, isPartitioned: func(*simulated, *simulated) bool { return false },
+		now: time.Unix(1_800_000_000, 0), byAddress: map[string]*simulatedDaemon{}, isPartitioned: func(*simulatedDaemon, *simulatedDaemon) bool { return false },
 	}
 	for index := range topology.Daemons {
 		network.add(index)
@@ -114,7 +114,7 @@
 
 func (n *Network) add(index int) {
 	zone := index % n.topology.Zones
-	daemon := &simulated{index: index, zone: zone, region: zone % n.topology.Regions, publishAt: map[int]time.Time{}}
+	daemon := &simulatedDaemon{index: index, zone: zone, region: zone % n.topology.Regions, publishAt: map[int]time.Time{}}
 	n.daemons = append(n.daemons, daemon)
 	n.byAddress[address(index)] = daemon
 	n.start(daemon)
@@ -128,7 +128,7 @@
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
 // start starts a new incarnation of a daemon without any state.
-func (n *Network) start(daemon *simulated) {
+func (n *Network) start(daemon *simulatedDaemon) {
 	daemon.starts++
 	if daemon.core != nil {
 		ended := daemon.core.Statistics()
@@ -146,7 +146,7 @@
 		seeds = append(seeds, address(n.random.IntN(n.topology.Daemons)))
 	}
 	daemon.core.SetSeeds(seeds)
-	daemon.up = true
+	daemon.isUp = true
 	daemon.revision = 0
 	daemon.supervised = nil
 }
@@ -181,9 +181,9 @@
 	return timeout, condition()
 }
 
-func (n *Network) tick(daemon *simulated) {
+func (n *Network) tick(daemon *simulatedDaemon) {
 	n.after(tickInterval, func() { n.tick(daemon) })
-	if !daemon.up || n.now.Before(daemon.pausedUntil) {
+	if !daemon.isUp || n.now.Before(daemon.pausedUntil) {
 		return
 	}
 	n.supervise(daemon)
@@ -191,7 +191,7 @@
 }
 
 // send transmits the datagrams that a daemon returned and handles its events.
-func (n *Network) send(daemon *simulated, datagrams []membership.Datagram) {
+func (n *Network) send(daemon *simulatedDaemon, datagrams []membership.Datagram) {
 	for _, datagram := range datagrams {
 		sealed, err := peer.SealDatagram(n.key, datagram.Packet)
 		if err == nil {
@@ -201,7 +201,7 @@
 	n.react(daemon)
 }
 
-func (n *Network) transmit(from *simulated, to string, sealed []byte) {
+func (n *Network) transmit(from *simulatedDaemon, to string, sealed []byte) {
 	target, known := n.byAddress[to]
 	if !known || n.isPartitioned(from, target) || n.random.Float64() < n.loss {
 		return
@@ -209,7 +209,7 @@
 	n.after(n.latency(from, target), func() { n.deliver(target, sealed) })
 }
 
-func (n *Network) latency(from, to *simulated) time.Duration {
+func (n *Network) latency(from, to *simulatedDaemon) time.Duration {
 	switch {
 	case from.zone == to.zone:
 		return latencyInZone
@@ -219,8 +219,8 @@
 	return latencyBetweenRegions
 }
 
-func (n *Network) deliver(target *simulated, sealed []byte) {
-	if !target.up {
+func (n *Network) deliver(target *simulatedDaemon, sealed []byte) {
+	if !target.isUp {
 		return
 	}
 	if n.now.Before(target.pausedUntil) {
@@ -237,7 +237,7 @@
 
 // react handles a core's events: it performs full exchanges and fetches
 // configuration revisions.
-func (n *Network) react(daemon *simulated) {
+func (n *Network) react(daemon *simulatedDaemon) {
 	for _, event := range daemon.core.TakeEvents() {
 		other, known := n.byAddress[event.Address]
 		if !known || other == daemon {
@@ -253,19 +253,19 @@
 }
 
 // call runs answer after a round trip if both daemons can reach each other and run.
-func (n *Network) call(from, to *simulated, answer func()) {
+func (n *Network) call(from, to *simulatedDaemon, answer func()) {
 	if n.isPartitioned(from, to) || n.isPartitioned(to, from) {
 		return
 	}
 	n.after(2*n.latency(from, to), func() {
-		if from.up && to.up && !n.now.Before(to.pausedUntil) {
+		if from.isUp && to.isUp && !n.now.Before(to.pausedUntil) {
 			answer()
 		}
 	})
 }
 
 // exchange performs a full membership exchange.
-func (n *Network) exchange(from, to *simulated) {
+func (n *Network) exchange(from, to *simulatedDaemon) {
 	request := from.core.StartSync()
 	answer := to.core.AnswerSync(request)
 	push := from.core.FinishSync(answer, n.now)
@@ -277,14 +277,14 @@
 	}
 }
 
-func (n *Network) fetch(daemon, from *simulated) {
+func (n *Network) fetch(daemon, from *simulatedDaemon) {
 	if from.revision <= daemon.revision {
 		return
 	}
 	n.applyRevision(daemon, from.revision)
 }
 
-func (n *Network) applyRevision(daemon *simulated, revision int64) {
+func (n *Network) applyRevision(daemon *simulatedDaemon, revision int64) {
 	if revision <= daemon.revision {
 		return
 	}
--- a/internal/membership/simulation/observe_test.go
+++ b/internal/membership/simulation/observe_test.go
@@ -4,7 +4,7 @@
 // members.
 func (n *Network) allHaveMembers(members int) bool {
 	for _, daemon := range n.daemons {
-		if daemon.up && len(daemon.core.Members()) != members {
+		if daemon.isUp && len(daemon.core.Members()) != members {
 			return false
 		}
 	}
@@ -15,7 +15,7 @@
 // member.
 func (n *Network) noneHasLive(index int) bool {
 	for _, daemon := range n.daemons {
-		if member, known := daemon.core.Member(name(index)); daemon.up && daemon.index != index && known && member.Live() {
+		if member, known := daemon.core.Member(name(index)); daemon.isUp && daemon.index != index && known && member.Live() {
 			return false
 		}
 	}
@@ -25,7 +25,7 @@
 // allHaveRevision reports whether every daemon that is up has the revision.
 func (n *Network) allHaveRevision(revision int64) bool {
 	for _, daemon := range n.daemons {
-		if daemon.up && daemon.revision < revision {
+		if daemon.isUp && daemon.revision < revision {
 			return false
 		}
 	}
--- a/internal/membership/simulation/supervision_test.go
+++ b/internal/membership/simulation/supervision_test.go
@@ -28,7 +28,7 @@
 
 // supervise updates which engines the daemon supervises and publishes a random load
 // for each of them at the supervisors' interval.
-func (n *Network) supervise(daemon *simulated) {
+func (n *Network) supervise(daemon *simulatedDaemon) {
 	if n.now.Sub(daemon.dutiesAt) >= dutyInterval {
 		daemon.dutiesAt = n.now
 		daemon.supervised = n.dutiesOf(daemon)
@@ -45,7 +45,7 @@
 }
 
 // dutiesOf returns the engines that the daemon has to supervise by its member list.
-func (n *Network) dutiesOf(daemon *simulated) []int {
+func (n *Network) dutiesOf(daemon *simulatedDaemon) []int {
 	names := []string{}
 	for _, member := range daemon.core.Members() {
 		if member.Zone == zoneName(daemon.zone) {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -31,11 +31,11 @@
 	downAfterFailedProbes = 2
 	recordRefreshInterval = 2 * time.Minute
 	minLoadInterval       = 500 * time.Millisecond
-	// loadIntervalPerEngine is the load interval per engine in the zone, which
-	// keeps gossip within its byte limit.
+	// loadIntervalPerEngine is multiplied by the number of engines in the zone, so
+	// that load records stay within the byte limit of gossip.
 	loadIntervalPerEngine = 50 * time.Millisecond
-	// batchPauseTime is how long batch dispatch to an engine pauses after it failed
-	// or refused an item.
+	// batchPauseTime is how long batch dispatch to an engine pauses after a failed or
+	// refused attempt, or after the write of an intent failed.
 	batchPauseTime = 200 * time.Millisecond
 	// maxItemFailures is the number of attempts with an unknown outcome after which
 	// an item fails.
