--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -81,17 +81,17 @@
 mutant no_leaving_check internal/registry/registry.go \
 	'!e.Machine.Leaving && ' '' internal/routing 'TestChosenEngineIsEligible|TestLeavingEngineIsNotChosen'
 mutant no_wave_bound internal/rollout/rollout.go \
-	'min(free, len(candidates))' 'max(free, len(candidates))' internal/rollout TestWaveKeepsTheBound
+	'min(free, len(candidates))' 'max(free, len(candidates))' internal/rollout TestWaveKeepsUnavailableLimit
 mutant no_guard internal/admission/window.go \
 	'if onlineLoad > w.guard {' 'if false {' internal/admission TestWindowIsZeroAboveGuard
 mutant no_seeds_after_start internal/membership/probe.go \
-	'if !live[seed] {' 'if len(live) < 2 {' internal/membership/simulation TestGroupsThatNeverMetFindTogether
+	'if !live[seed] {' 'if len(live) < 2 {' internal/membership/simulation TestSeparateGroupsMerge
 mutant weak_digest internal/membership/member.go \
-	'return value ^ value>>33' 'return value & 3' internal/membership/simulation TestRegionThatWasCutIsWholeAgain
+	'return value ^ value>>33' 'return value & 3' internal/membership/simulation TestPartitionedRegionRejoins
 mutant no_item_digest internal/membership/core.go \
-	'isSame = isSame && packet.ItemDigest' 'isSame = isSame || packet.ItemDigest' internal/membership/simulation TestRestartedMemberGetsItsZonesItems
+	'isSame = isSame && packet.ItemDigest' 'isSame = isSame || packet.ItemDigest' internal/membership/simulation TestRestartedMemberGetsZoneItems
 mutant no_direct_accusation internal/membership/probe.go \
-	'c.accused[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
+	'c.ownSuspects[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
 mutant no_attempt_echo internal/engine/client.go \
 	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestCrossedAnswersAreDropped
 mutant no_end_marker internal/engine/client.go \
@@ -105,9 +105,9 @@
 mutant no_wait_at_stop internal/daemon/daemon.go \
 	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCutsOffNoRequest
 mutant no_pause_notice internal/membership/core.go \
-	'	c.notePause(now)' '' internal/membership TestPausedMemberWaitsForItsOwnAnswers
+	'	c.compensatePause(now)' '' internal/membership TestPauseRaisesNoSuspicion
 mutant no_gossip_bound internal/membership/gossip.go \
-	'	c.allowance -= float64(packetSize(datagram.Packet))' '' internal/membership TestGossipStaysWithinItsBytes
+	'	c.allowance -= float64(packetSize(datagram.Packet))' '' internal/membership TestGossipStaysWithinByteLimit
 mutant no_claim_condition internal/job/commit.go \
 	'Conditions: []table.Condition{{Table: tableClaim, Key: o.job.ID, Version: o.claim.version}},
 	}
@@ -232,7 +232,7 @@
 mutant nothing_given_back internal/serving/admit.go \
 	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
 mutant silent_link_kept internal/peer/link.go \
-	'if held.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
+	'if peerLink.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
 mutant every_refusal_promises internal/runrecord/runrecord.go \
 	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunIsTrueAfterUnknownAttempts'
 mutant sends_not_noted internal/serving/exchange.go \
