--- a/internal/job/accept.go
+++ b/internal/job/accept.go
@@ -13,7 +13,7 @@
 
 // submitTime bounds how long a submission is tried at a store that answers others:
 // another daemon may reach it.
-const submitTime = 2800 * time.Millisecond
+const submitTimeout = 2800 * time.Millisecond
 
 // Submit accepts a job durably. A nil error means that the job is in the
 // system's keeping; a failure marked as not run promises that nothing of it
@@ -21,16 +21,16 @@
 // context bounds how long the caller waits; while the store is away, the submission is
 // held for all of that.
 func (s *Service) Submit(ctx context.Context, submitted Job) error {
-	for wasUnderWay := false; ; wasUnderWay = true {
+	for wasTried := false; ; wasTried = true {
 		if known, isOpen := s.openTenant(submitted.ID); isOpen {
-			return s.acknowledgeKnown(submitted, known)
+			return s.acknowledgeExisting(submitted, known)
 		}
 		wasHeld, err := s.holdWhileAway(ctx, submitted)
 		if err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
-		err = s.submitOnce(ctx, submitted, wasUnderWay || wasHeld)
+		err = s.submitOnce(ctx, submitted, wasTried || wasHeld)
 		if !isWorthHolding(ctx, err) || !s.isStoreAway() {
 			return err
 		}
@@ -39,14 +39,14 @@
 
 // submitOnce tries to accept a job. wasUnderWay tells that its submission was tried or
 // held before: an end that came meanwhile ends it.
-func (s *Service) submitOnce(caller context.Context, submitted Job, wasUnderWay bool) error {
-	ctx, cancel := context.WithTimeout(caller, submitTime)
+func (s *Service) submitOnce(caller context.Context, submitted Job, wasTried bool) error {
+	ctx, cancel := context.WithTimeout(caller, submitTimeout)
 	defer cancel()
-	held, err := s.reserve(ctx, &submitted)
+	reserved, err := s.reserve(ctx, &submitted)
 	if err != nil {
 		return s.refuseUnlessAccepted(ctx, submitted, err)
 	}
-	return s.accept(ctx, submitted, held, wasUnderWay)
+	return s.accept(ctx, submitted, reserved, wasTried)
 }
 
 // refuseUnlessAccepted refuses a job for which no tokens could be reserved. It may
@@ -57,9 +57,9 @@
 		accepted, err := s.acceptance(ctx, submitted.ID)
 		switch {
 		case err == nil:
-			return s.acknowledgeKnown(submitted, accepted.Tenant)
+			return s.acknowledgeExisting(submitted, accepted.Tenant)
 		case !failure.Is(err, failure.KindNotFound):
-			refused = outcomeUnknown(err)
+			refused = acceptanceUnknown(err)
 		}
 	}
 	s.logAcceptance(submitted, "refused", refused)
@@ -67,35 +67,35 @@
 }
 
 // accept commits the acceptance of a job whose tokens are reserved.
-func (s *Service) accept(ctx context.Context, submitted Job, held reservation, wasUnderWay bool) error {
-	transaction, err := s.acceptanceOf(ctx, submitted, held)
+func (s *Service) accept(ctx context.Context, submitted Job, reserved reservation, wasTried bool) error {
+	transaction, err := s.acceptanceTransaction(ctx, submitted, reserved)
 	if err != nil {
-		s.release(held)
+		s.release(reserved)
 		s.logAcceptance(submitted, "refused", err)
 		return err
 	}
-	ended, err := s.commitAcceptance(ctx, submitted, transaction, wasUnderWay)
+	outcome, err := s.commitAcceptance(ctx, submitted, transaction, wasTried)
 	switch {
 	case err != nil:
 		if failure.From(err).NotRun {
-			s.release(held)
+			s.release(reserved)
 		}
 		s.logAcceptance(submitted, "refused", err)
 		return err
-	case ended.voided != 0:
+	case outcome.voided != 0:
 		// The reservation may have been swept together with the last try.
-		held.voided = ended.voided
-		if err := s.reserveAgain(ctx, &submitted, &held); err != nil {
+		reserved.voided = outcome.voided
+		if err := s.reserveAgain(ctx, &submitted, &reserved); err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
-		return s.accept(ctx, submitted, held, wasUnderWay)
-	case !ended.isNew:
-		s.release(held)
-		return s.acknowledgeKnown(submitted, ended.tenant)
+		return s.accept(ctx, submitted, reserved, wasTried)
+	case !outcome.isNew:
+		s.release(reserved)
+		return s.acknowledgeExisting(submitted, outcome.tenant)
 	}
 	s.logAcceptance(submitted, "accepted", nil)
-	s.own(submitted, versionedClaim{claim: s.newClaim(1, submitted.Tenant), version: ended.version}, history{settled: held.settlement()})
+	s.startJob(submitted, versionedClaim{claim: s.newClaim(1, submitted.Tenant), version: outcome.version}, history{settled: reserved.settlement()})
 	return nil
 }
 
@@ -120,7 +120,7 @@
 
 // acknowledgeKnown ends the call for a job that was accepted before. Another
 // tenant's job is none that the caller could have sent.
-func (s *Service) acknowledgeKnown(submitted Job, tenant string) error {
+func (s *Service) acknowledgeExisting(submitted Job, tenant string) error {
 	if !mayAccess(tenant, submitted.Tenant) {
 		err := notFound(submitted.ID)
 		s.logAcceptance(submitted, "refused", err)
@@ -141,20 +141,20 @@
 
 const (
 	// contentRowBytes is the part of a job's content that one row holds.
-	contentRowBytes = 48 << 10
+	maxContentRowBytes = 48 << 10
 	// contentBytes is the largest content that the transaction of the
 	// acceptance carries; a larger one is stored as an object first.
-	contentBytes = 600 << 10
+	maxContentBytes = 600 << 10
 )
 
 // acceptanceOf makes the transaction that makes a job exist. The rows of its
 // content are part of it, because one call is faster than two.
-func (s *Service) acceptanceOf(ctx context.Context, submitted Job, held reservation) (table.Transaction, error) {
+func (s *Service) acceptanceTransaction(ctx context.Context, submitted Job, reserved reservation) (table.Transaction, error) {
 	transaction := table.Transaction{
 		Partition:  shard(submitted.ID),
-		Conditions: []table.Condition{{Table: tableAccepted, Key: submitted.ID}, {Table: tableVoid, Key: submitted.ID, Version: held.voided}},
+		Conditions: []table.Condition{{Table: tableAccepted, Key: submitted.ID}, {Table: tableVoid, Key: submitted.ID, Version: reserved.voided}},
 	}
-	if held.voided != 0 {
+	if reserved.voided != 0 {
 		transaction.Removals = []table.Removal{{Table: tableVoid, Key: submitted.ID}}
 	}
 	content, err := encodeJob(submitted)
@@ -162,7 +162,7 @@
 		return transaction, err
 	}
 	row := acceptance{Total: len(submitted.Items), Tenant: submitted.Tenant}
-	if len(content) > contentBytes {
+	if len(content) > maxContentBytes {
 		row.Object = objectName(submitted.ID, content)
 		if err := s.putObject(ctx, row.Object, content); err != nil {
 			return transaction, unavailable(err)
@@ -182,7 +182,7 @@
 		{Table: tableClaim, Key: submitted.ID, Value: claimed},
 	}
 	for number := 0; len(content) > 0; number++ {
-		part := content[:min(contentRowBytes, len(content))]
+		part := content[:min(maxContentRowBytes, len(content))]
 		content = content[len(part):]
 		transaction.Writes = append(transaction.Writes, table.Write{Table: tableContent, Key: numberedKey(submitted.ID, number), Value: part})
 	}
@@ -191,7 +191,7 @@
 
 // acceptanceEnd is how the commit of an acceptance ended: it made the job,
 // found that the job exists, or found it voided at a version.
-type acceptanceEnd struct {
+type acceptanceOutcome struct {
 	isNew   bool
 	version table.Version
 	voided  table.Version
@@ -202,9 +202,9 @@
 // commitAcceptance commits until the store tells how it ended. The job may
 // exist through an earlier try whose answer was lost. A job that was ended while the
 // call tried, or was held, is refused; one that was ended before that is wanted again.
-func (s *Service) commitAcceptance(ctx context.Context, submitted Job, transaction table.Transaction, wasUnderWay bool) (acceptanceEnd, error) {
+func (s *Service) commitAcceptance(ctx context.Context, submitted Job, transaction table.Transaction, wasTried bool) (acceptanceOutcome, error) {
 	id, isUnsettled, tries := submitted.ID, false, 1
-	if wasUnderWay {
+	if wasTried {
 		tries++
 	}
 	for ; ; tries++ {
@@ -212,24 +212,24 @@
 		var conflict *table.ConflictError
 		switch {
 		case err == nil:
-			return acceptanceEnd{isNew: true, version: version}, nil
+			return acceptanceOutcome{isNew: true, version: version}, nil
 		case errors.As(err, &conflict) && conflict.Row(tableAccepted, id).Version == 0:
 			voided := conflict.Row(tableVoid, id)
-			if tries > 1 && s.voidingOf(voided).ends(submitted.Tenant) {
-				return acceptanceEnd{}, refusedAsEnded(id)
+			if tries > 1 && s.decodeVoid(voided).isCancelledFor(submitted.Tenant) {
+				return acceptanceOutcome{}, cancelledSubmission(id)
 			}
-			return acceptanceEnd{voided: voided.Version}, nil
+			return acceptanceOutcome{voided: voided.Version}, nil
 		case errors.As(err, &conflict):
 			// The job exists. If this daemon's own lost try made it, the claim
 			// is found by the follower like that of any other owner.
-			return acceptanceEnd{tenant: s.tenantOfRow(conflict.Row(tableAccepted, id))}, nil
+			return acceptanceOutcome{tenant: s.tenantOfRow(conflict.Row(tableAccepted, id))}, nil
 		}
 		isUnsettled = isUnsettled || isUnknown(err)
-		if !periodic.SleepAbout(ctx, storePause) || !s.awaitStore(ctx) {
+		if !periodic.SleepAbout(ctx, retryPause) || !s.awaitStore(ctx) {
 			if isUnsettled {
-				return acceptanceEnd{}, outcomeUnknown(err)
+				return acceptanceOutcome{}, acceptanceUnknown(err)
 			}
-			return acceptanceEnd{}, unavailable(err)
+			return acceptanceOutcome{}, unavailable(err)
 		}
 	}
 }
@@ -244,13 +244,13 @@
 // same object twice does no harm.
 func (s *Service) putObject(ctx context.Context, name string, content []byte) error {
 	for {
-		bounded, cancel := context.WithTimeout(ctx, attemptTime(len(content)))
+		bounded, cancel := context.WithTimeout(ctx, timeoutFor(len(content)))
 		err := s.store.PutObject(bounded, name, content)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		if !periodic.SleepAbout(ctx, storePause) {
+		if !periodic.SleepAbout(ctx, retryPause) {
 			return err
 		}
 	}
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -32,7 +32,7 @@
 )
 
 // runItem makes one attempt at an item, if it is permitted once the connection is there.
-func (s *Service) runItem(ctx context.Context, running *work, lease *backend.Lease, matched *route.Route, service string, permit func() error) {
+func (s *Service) runItem(ctx context.Context, running *ownedItem, lease *backend.Lease, matched *route.Route, service string, permit func() error) {
 	defer s.nudge()
 	defer lease.Release()
 	instance := lease.Instance()
@@ -86,7 +86,7 @@
 func (e *invalidItemError) Error() string { return "the item can never be done" }
 
 // readItem gathers the text of an item.
-func (s *Service) readItem(running *work, answer serving.Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
+func (s *Service) readItem(running *ownedItem, answer serving.Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
 	head := answer.Head()
 	if !head.Successful() || !head.Events {
 		_, _ = answer.Body()
@@ -103,7 +103,7 @@
 			s.noteItemTime(running)
 			s.log.Info("item_completed", "job", running.owner.job.ID, "item", running.item.ID, "backend", lease.Instance().ID,
 				"events", running.progress.last(), "took_ms", time.Since(running.startedAt).Milliseconds())
-			running.owner.end(running, Result{Item: running.item.ID, State: StateCompleted, Text: running.progress.text()})
+			running.owner.finish(running, Result{Item: running.item.ID, State: StateCompleted, Text: running.progress.text()})
 			return nil
 		}
 		if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // noteItemTime learns from an item that ended how long items run.
-func (s *Service) noteItemTime(ended *work) {
+func (s *Service) noteItemTime(ended *ownedItem) {
 	ran := ended.owner.ranFor(ended, time.Now())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // attemptFailed decides what becomes of an item after a failed attempt.
-func (s *Service) attemptFailed(ctx context.Context, running *work, instance backend.Instance, matched *route.Route, err error) {
+func (s *Service) attemptFailed(ctx context.Context, running *ownedItem, instance backend.Instance, matched *route.Route, err error) {
 	held := running.owner
 	if held.ctx.Err() != nil {
 		s.log.Info("item_cut", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID,
@@ -142,14 +142,14 @@
 	if errors.As(err, &invalid) {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
 		s.log.Info("item_abandoned", "job", held.job.ID, "item", running.item.ID, "backend", instance.ID, "reason", "invalid", "status", invalid.status)
-		held.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+		held.finish(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
 	s.noteFailure(running, instance, matched, err)
 }
 
 // noteFailure counts a failed attempt against the backend and the item.
-func (s *Service) noteFailure(running *work, instance backend.Instance, matched *route.Route, err error) {
+func (s *Service) noteFailure(running *ownedItem, instance backend.Instance, matched *route.Route, err error) {
 	held := running.owner
 	failed := &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	_ = errors.As(err, &failed)
@@ -164,7 +164,7 @@
 		"reason", string(failed.Reason), "failures", running.progress.failed(), "last_event", running.progress.last(), "cause", failed.Cause, "fingerprint", running.fingerprint.String())
 	if running.progress.failed() >= matched.MaxAttempts {
 		s.log.Info("item_abandoned", "job", held.job.ID, "item", running.item.ID, "reason", "failures", "failures", running.progress.failed())
-		held.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+		held.finish(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
 	pause := failedPause
--- a/internal/job/handover.go
+++ b/internal/job/cancelrequest.go
@@ -11,7 +11,7 @@
 // by the word of who removed the claim after some milliseconds, and by the followed
 // claims after 0.73 s at most, over 63 daemons. So an end costs no further call to the
 // store in calm: 20 ends over three daemons made 60 calls, and 103 to 107 without a pause.
-const handoverPause = time.Second
+const cancelRequestDelay = time.Second
 
 // CancelRequest is an end of a job that another daemon has taken and pursues.
 type CancelRequest struct {
@@ -27,23 +27,23 @@
 // does not know the job: it may have been accepted milliseconds ago, and be known there. It
 // is asked at each try that the store turned away: the owner may not have been reached, or
 // another one may have taken the job over.
-func (s *Service) tellOwner(ctx context.Context, key endingKey) {
+func (s *Service) notifyOwner(ctx context.Context, key cancelKey) {
 	held, isOpen := s.openClaim(key.job)
 	if isOpen && !mayAccess(held.Tenant, key.tenant) {
 		return
 	}
-	told := held.Owner
-	if !isOpen || told == s.self.Name {
-		told = s.peers.Successor(key.job)
+	recipient := held.Owner
+	if !isOpen || recipient == s.self.Name {
+		recipient = s.peers.Successor(key.job)
 	}
-	if told == "" {
+	if recipient == "" {
 		return
 	}
-	remaining := endTime
+	remaining := cancelTimeout
 	if deadline, isBounded := ctx.Deadline(); isBounded {
 		remaining = min(remaining, time.Until(deadline))
 	}
-	s.peers.NotifyCancelRequest(told, CancelRequest{Job: key.job, Tenant: key.tenant, Remaining: remaining})
+	s.peers.NotifyCancelRequest(recipient, CancelRequest{Job: key.job, Tenant: key.tenant, Remaining: remaining})
 }
 
 // openClaim returns the claim on a job that is known to be accepted and not over: its own,
@@ -62,45 +62,45 @@
 // and is pursued here too. An end that lives in one daemon's memory alone is lost if that
 // daemon is killed while the store turns it away, and the job would run on: 100 of 100
 // items that waited for room were sent then.
-func (s *Service) HandleCancelRequest(wanted CancelRequest) {
-	key := endingKey{job: wanted.Job, tenant: wanted.Tenant}
-	if wanted.Remaining <= 0 {
+func (s *Service) HandleCancelRequest(request CancelRequest) {
+	key := cancelKey{job: request.Job, tenant: request.Tenant}
+	if request.Remaining <= 0 {
 		return
 	}
-	found, isNew, isRoom := s.endings.begin(key)
-	if !isRoom {
-		s.log.Info("job_end_not_heard", "job", key.job, "tenant", key.tenant, "limit", endsAtOnce)
+	found, isNew, hasCapacity := s.cancellations.begin(key)
+	if !hasCapacity {
+		s.log.Info("job_end_not_heard", "job", key.job, "tenant", key.tenant, "limit", maxCancellations)
 		return
 	}
 	if !isNew {
 		return
 	}
-	s.log.Info("job_end_heard", "job", key.job, "tenant", key.tenant, "remaining_ms", wanted.Remaining.Milliseconds())
-	s.holdIfKnown(key)
+	s.log.Info("job_end_heard", "job", key.job, "tenant", key.tenant, "remaining_ms", request.Remaining.Milliseconds())
+	s.blockIfOpen(key)
 	_, wasOpen := s.openTenant(key.job)
-	s.startEnd(key, found, min(wanted.Remaining, endTime), func(ctx context.Context) error {
-		hasCaller := found.awaitCaller(ctx, handoverPause)
+	s.startCancellation(key, found, min(request.Remaining, cancelTimeout), func(ctx context.Context) error {
+		hasCaller := found.awaitCaller(ctx, cancelRequestDelay)
 		if hasCaller || s.isOpen(key.job) {
-			return s.pursueEnd(ctx, key)
+			return s.cancelUntilDone(ctx, key)
 		}
 		if wasOpen {
 			return nil
 		}
 		// Told late, of a job that has ended: 20 ends cost 2 and 16 further reads otherwise.
-		return endUnknown(&notOpenHereError{job: key.job})
+		return cancelUnknown(&notOpenError{job: key.job})
 	})
 }
 
 // notOpenHereError tells that an end was wanted of a job that is not known here to be
 // open, which says nothing of the job.
-type notOpenHereError struct{ job string }
+type notOpenError struct{ job string }
 
 // Error implements error.
-func (e *notOpenHereError) Error() string { return "job " + e.job + " is not known here to be open" }
+func (e *notOpenError) Error() string { return "job " + e.job + " is not known here to be open" }
 
 // awaitCaller waits for the pause, and no longer once a caller waits for the end, which
 // it reports.
-func (e *ending) awaitCaller(ctx context.Context, pause time.Duration) bool {
+func (e *cancellation) awaitCaller(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/job/claims.go
+++ b/internal/job/claims.go
@@ -10,15 +10,15 @@
 	// orphanPause is how long the owner of a job must be gone before the first
 	// daemon in rank takes the job over; each further rank waits rankPause
 	// more, in case those before it cannot.
-	orphanPause = 300 * time.Millisecond
-	rankPause   = 1500 * time.Millisecond
+	takeoverDelay        = 300 * time.Millisecond
+	takeoverDelayPerRank = 1500 * time.Millisecond
 	// unknownPause is the wait for owners that this daemon never met, because
 	// it may have started just now.
-	unknownPause = 2 * time.Second
+	unknownOwnerDelay = 2 * time.Second
 	// freshClaim is how long a claim's change counts as a sign of its owner's
 	// life. Without it two daemons that cannot hear each other would take a job
 	// from each other without end.
-	freshClaim = 3 * time.Second
+	recentChangeTime = 3 * time.Second
 )
 
 // Liveness is what is known of another daemon's life.
@@ -40,12 +40,12 @@
 // lost: the job would be taken up, and its items sent, again and again until the copy
 // has come up. On a day of 63 daemons, which follow the store through others, 92 of
 // 153 jobs that were over were taken up again. mutex must be held.
-func (s *Service) noteClaimGone(id string, version table.Version) {
-	copyKnows := s.followed >= version && s.claims[id].version != version
-	if version == 0 || copyKnows {
+func (s *Service) markClaimRemoved(id string, version table.Version) {
+	isInCopy := s.followed >= version && s.claims[id].version != version
+	if version == 0 || isInCopy {
 		return
 	}
-	s.gone[id] = max(s.gone[id], version)
+	s.removed[id] = max(s.removed[id], version)
 	s.forgetClaim(id)
 }
 
@@ -53,17 +53,19 @@
 // sooner than the copy of the claims does, which is up to 1.5 s behind.
 func (s *Service) HandleClaimRemoved(id string, version table.Version) {
 	s.mutex.Lock()
-	s.noteClaimGone(id, version)
+	s.markClaimRemoved(id, version)
 	held := s.owned[id]
 	isEnded := held != nil && held.claim.version <= version
 	s.mutex.Unlock()
 	if isEnded {
-		held.drop(dropToldEnded)
+		held.drop(dropReportedEnded)
 	}
 }
 
 // isGone reports whether a claim is known to be gone. mutex must be held.
-func (s *Service) isGone(id string, version table.Version) bool { return version <= s.gone[id] }
+func (s *Service) isKnownRemoved(id string, version table.Version) bool {
+	return version <= s.removed[id]
+}
 
 // forgetClaim drops what is known of a job's claim. mutex must be held.
 func (s *Service) forgetClaim(id string) {
@@ -74,10 +76,10 @@
 
 // forgetGone drops what was known ahead of the copy once the copy, which is as of a
 // version, has come up. mutex must be held.
-func (s *Service) forgetGone(listed map[string]versionedClaim, version table.Version) {
-	for id, known := range s.gone {
+func (s *Service) forgetRemoved(listed map[string]versionedClaim, version table.Version) {
+	for id, known := range s.removed {
 		if _, isListed := listed[id]; !isListed && version > known {
-			delete(s.gone, id)
+			delete(s.removed, id)
 		}
 	}
 }
@@ -94,14 +96,14 @@
 		claims[row.Key] = versionedClaim{claim: read, version: row.Version}
 	}
 	s.mutex.Lock()
-	s.forgetGone(claims, version)
+	s.forgetRemoved(claims, version)
 	for id, held := range claims {
-		if s.isGone(id, held.version) {
+		if s.isKnownRemoved(id, held.version) {
 			delete(claims, id)
 			continue
 		}
 		if s.claims[id].version != held.version {
-			s.noteClaimChange(id)
+			s.recordClaimChange(id)
 		}
 	}
 	s.claims, s.followed = claims, version
@@ -129,7 +131,7 @@
 	lost := map[string]dropReason{}
 	s.mutex.Lock()
 	for _, row := range rows {
-		if reason, isLost := s.changeClaim(row); isLost {
+		if reason, isLost := s.applyClaimChange(row); isLost {
 			lost[row.Key] = reason
 		}
 	}
@@ -142,13 +144,13 @@
 
 // changeClaim takes over one changed claim, and reports whether the job is thereby
 // known not to be run here any more. mutex must be held.
-func (s *Service) changeClaim(row table.Row) (reason dropReason, isLost bool) {
+func (s *Service) applyClaimChange(row table.Row) (reason dropReason, isLost bool) {
 	held := s.owned[row.Key]
 	isLost = held != nil && row.Version > held.claim.version
-	if s.isGone(row.Key, row.Version) {
+	if s.isKnownRemoved(row.Key, row.Version) {
 		return "", false
 	}
-	delete(s.gone, row.Key)
+	delete(s.removed, row.Key)
 	if row.Deleted {
 		s.forgetClaim(row.Key)
 		return dropClaimRemoved, isLost
@@ -158,19 +160,19 @@
 		s.log.Warn("claim_unreadable", "job", row.Key, "error", err)
 		return "", false
 	}
-	s.noteClaimChange(row.Key)
+	s.recordClaimChange(row.Key)
 	s.claims[row.Key] = versionedClaim{claim: read, version: row.Version}
 	return dropClaimLost, isLost
 }
 
 // noteClaimChange starts the wait for a job's owner anew. mutex must be held.
-func (s *Service) noteClaimChange(id string) {
+func (s *Service) recordClaimChange(id string) {
 	delete(s.orphans, id)
 	s.claimedAt[id] = time.Now()
 }
 
 // orphaned returns the claims that this daemon should take over now.
-func (s *Service) orphaned(now time.Time) map[string]versionedClaim {
+func (s *Service) dueOrphans(now time.Time) map[string]versionedClaim {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	due := map[string]versionedClaim{}
@@ -207,12 +209,12 @@
 		s.orphans[id] = now
 		return false
 	}
-	pause := orphanPause + time.Duration(s.peers.Rank(id))*rankPause
+	pause := takeoverDelay + time.Duration(s.peers.Rank(id))*takeoverDelayPerRank
 	if liveness == LivenessUnknown {
-		pause += unknownPause
+		pause += unknownOwnerDelay
 	}
-	isFresh := now.Sub(s.claimedAt[id]) < freshClaim
-	if liveness != LivenessGone && isFresh {
+	isRecent := now.Sub(s.claimedAt[id]) < recentChangeTime
+	if liveness != LivenessGone && isRecent {
 		return false
 	}
 	return now.Sub(since) >= pause
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -60,13 +60,13 @@
 		DueMs: job.Due.Milliseconds(), GiveUpMs: job.GiveUpAfter.Milliseconds(), Items: []itemRecord{}, Tenant: job.Tenant,
 	}
 	for _, item := range job.Items {
-		record.Items = append(record.Items, recordOf(item))
+		record.Items = append(record.Items, newItemRecord(item))
 	}
 	content, err := avro.Marshal(jobSchema, record)
 	return content, errors.WithStack(err)
 }
 
-func recordOf(item Item) itemRecord {
+func newItemRecord(item Item) itemRecord {
 	record := itemRecord{ID: item.ID, Path: item.Path, Tokens: int64(item.Tokens), Body: item.Body, Fields: []fieldRecord{}, Prompt: []partRecord{}}
 	if record.Body == nil {
 		record.Body = []byte{}
@@ -90,12 +90,12 @@
 		Due: milliseconds(record.DueMs), GiveUpAfter: milliseconds(record.GiveUpMs),
 	}
 	for _, item := range record.Items {
-		job.Items = append(job.Items, itemOf(item))
+		job.Items = append(job.Items, newItem(item))
 	}
 	return job, nil
 }
 
-func itemOf(record itemRecord) Item {
+func newItem(record itemRecord) Item {
 	item := Item{ID: record.ID, Path: record.Path, Tokens: int(record.Tokens), Body: record.Body}
 	for _, field := range record.Fields {
 		item.Fields = append(item.Fields, serving.Field{Name: field.Name, Value: field.Value})
--- a/internal/job/commit.go
+++ b/internal/job/commit.go
@@ -18,20 +18,20 @@
 	commitDelay = 60 * time.Millisecond
 	// commitResults bounds the results of one commit. The store takes 100 rows
 	// in a transaction, and each result names up to three.
-	commitResults = 25
+	maxCommitResults = 25
 	// commitBytes is the most text of one commit: a third of a second of the
 	// slowest links of 30 Mbit/s, in the store's encoding. leastCommitBytes is
 	// what one commit carries however often the store did not answer in time.
-	commitBytes      = 512 << 10
-	leastCommitBytes = 16 << 10
+	maxCommitBytes = 512 << 10
+	minCommitBytes = 16 << 10
 	// inlineBytes is the longest text that a row holds.
-	inlineBytes = 40 << 10
+	maxInlineBytes = 40 << 10
 )
 
 // commitFinished commits results until none is left.
-func (o *owned) commitFinished() {
+func (o *ownedJob) commitFinished() {
 	for periodic.SleepAbout(o.ctx, commitDelay) {
-		batch, position, isLast := o.takeFinished()
+		batch, position, isLast := o.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -42,10 +42,10 @@
 			o.drop(lost.reason())
 			return
 		case err != nil:
-			o.noteUncommitted(len(batch), err)
+			o.handleCommitFailure(len(batch), err)
 			continue
 		}
-		o.advance(len(batch))
+		o.markCommitted(len(batch))
 		if isLast {
 			o.drop(dropFinished)
 			return
@@ -55,10 +55,10 @@
 
 // noteUncommitted makes the next commit smaller when the store did not answer
 // in time: the link may carry no more.
-func (o *owned) noteUncommitted(count int, err error) {
+func (o *ownedJob) handleCommitFailure(count int, err error) {
 	if isUnknown(err) {
 		o.mutex.Lock()
-		o.commitLimit = max(o.commitLimit/2, leastCommitBytes)
+		o.commitLimit = max(o.commitLimit/2, minCommitBytes)
 		o.mutex.Unlock()
 	}
 	o.service.log.Info("job_results_not_committed", "job", o.job.ID, "count", count, "error", err)
@@ -66,13 +66,13 @@
 
 // takeFinished returns the next results to commit and the position of the
 // first. When there are none, committing ends.
-func (o *owned) takeFinished() (batch []Result, position int, isLast bool) {
+func (o *ownedJob) nextBatch() (batch []Result, position int, isLast bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	size := 0
 	for _, result := range o.finished {
 		size += len(result.Text)
-		if len(batch) == commitResults || (size > o.commitLimit && len(batch) > 0) {
+		if len(batch) == maxCommitResults || (size > o.commitLimit && len(batch) > 0) {
 			break
 		}
 		batch = append(batch, result)
@@ -80,19 +80,19 @@
 	if len(batch) == 0 {
 		o.committing = false
 	}
-	return batch, o.committed, o.committed+len(batch) == len(o.works)
+	return batch, o.committed, o.committed+len(batch) == len(o.items)
 }
 
 // advance notes that the first results were committed.
-func (o *owned) advance(count int) {
+func (o *ownedJob) markCommitted(count int) {
 	o.mutex.Lock()
 	o.finished = o.finished[count:]
 	o.committed += count
-	o.commitLimit = min(o.commitLimit*2, commitBytes)
+	o.commitLimit = min(o.commitLimit*2, maxCommitBytes)
 	committed := o.committed
 	o.mutex.Unlock()
-	o.announceCommit()
-	o.service.log.Info("job_results_committed", "job", o.job.ID, "count", count, "listed", committed, "items", len(o.works))
+	o.notifyCommit()
+	o.service.log.Info("job_results_committed", "job", o.job.ID, "count", count, "listed", committed, "items", len(o.items))
 }
 
 // claimLostError tells that another owner or the job's end came between, or that
@@ -100,13 +100,13 @@
 type claimLostError struct {
 	job string
 	// isHeld tells that the claim is held all the same.
-	isHeld bool
+	ownsClaim bool
 }
 
 // reason returns why the job is dropped.
 func (e *claimLostError) reason() dropReason {
-	if e.isHeld {
-		return dropOutOfStep
+	if e.ownsClaim {
+		return dropUnknownResults
 	}
 	return dropClaimLost
 }
@@ -116,7 +116,7 @@
 
 // commitBatch tries once to commit results at fixed positions. An earlier try
 // whose answer was lost may have committed them, or more behind them.
-func (o *owned) commitBatch(ctx context.Context, batch []Result, position int, isLast bool) error {
+func (o *ownedJob) commitBatch(ctx context.Context, batch []Result, position int, isLast bool) error {
 	transaction, err := o.resultTransaction(ctx, batch, position, isLast)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	_, err = o.service.commit(ctx, transaction)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		return o.settle(conflict, transaction)
+		return o.resolveConflict(conflict, transaction)
 	}
 	return err
 }
@@ -132,11 +132,11 @@
 // settle tells an earlier try of the same commit, whose answer was lost, from
 // a lost claim. The claim is gone when the earlier try reached to the last
 // result.
-func (o *owned) settle(conflict *table.ConflictError, transaction table.Transaction) error {
+func (o *ownedJob) resolveConflict(conflict *table.ConflictError, transaction table.Transaction) error {
 	held := conflict.Row(tableClaim, o.job.ID).Version
 	for _, write := range transaction.Writes {
 		if !bytes.Equal(conflict.Row(write.Table, write.Key).Value, write.Value) {
-			return &claimLostError{job: o.job.ID, isHeld: held == o.claim.version}
+			return &claimLostError{job: o.job.ID, ownsClaim: held == o.claim.version}
 		}
 	}
 	if held == o.claim.version || held == 0 {
@@ -145,7 +145,7 @@
 	return &claimLostError{job: o.job.ID}
 }
 
-func (o *owned) resultTransaction(ctx context.Context, batch []Result, position int, isLast bool) (table.Transaction, error) {
+func (o *ownedJob) resultTransaction(ctx context.Context, batch []Result, position int, isLast bool) (table.Transaction, error) {
 	transaction := table.Transaction{
 		Partition:  shard(o.job.ID),
 		Conditions: []table.Condition{{Table: tableClaim, Key: o.job.ID, Version: o.claim.version}},
@@ -169,9 +169,9 @@
 }
 
 // encodeResult makes a result's row; a long text is stored as an object first.
-func (o *owned) encodeResult(ctx context.Context, result Result) ([]byte, error) {
+func (o *ownedJob) encodeResult(ctx context.Context, result Result) ([]byte, error) {
 	row := resultRow{Item: result.Item, State: result.State, Text: result.Text}
-	if len(result.Text) > inlineBytes {
+	if len(result.Text) > maxInlineBytes {
 		text := []byte(result.Text)
 		row.Text = ""
 		row.Object = "result-" + result.Item + "-" + strconv.FormatUint(xxhash.Sum64(text), 16)
@@ -188,7 +188,7 @@
 
 // release stops the items, keeps their progress in the store and gives the
 // claim up, so that another daemon goes on at once where this one stopped.
-func (o *owned) release(ctx context.Context) {
+func (o *ownedJob) release(ctx context.Context) {
 	o.stopItems()
 	for o.isBusy() && periodic.SleepAbout(ctx, releasePoll) {
 	}
@@ -206,10 +206,10 @@
 }
 
 // stopItems takes all running items back.
-func (o *owned) stopItems() {
+func (o *ownedJob) stopItems() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for _, each := range o.works {
+	for _, each := range o.items {
 		if each.state == itemRunning {
 			each.cancel()
 		}
@@ -217,7 +217,7 @@
 }
 
 // isBusy reports whether items run or results wait for their commit.
-func (o *owned) isBusy() bool {
+func (o *ownedJob) isBusy() bool {
 	if len(o.running()) > 0 {
 		return true
 	}
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -68,7 +68,7 @@
 // resetYield sets when running items are looked at again, if any job is owned.
 func (s *Service) resetYield(isIdle bool, yield *time.Ticker) {
 	if !isIdle {
-		yield.Reset(s.yielder.nextLook())
+		yield.Reset(s.preempter.nextLook())
 	}
 }
 
@@ -93,7 +93,7 @@
 	s.mutex.Unlock()
 	// When all daemons start at once, owners that know nothing of each other
 	// would all place their items into the same room.
-	isSettled := s.backends.HasPeerReports() || !now.Before(s.settledAt)
+	isSettled := s.backends.HasPeerReports() || !now.Before(s.placeAfter)
 	if isStopping || !isSettled || now.Sub(s.dispatchedAt) < dispatchInterval/2 {
 		return
 	}
@@ -103,10 +103,10 @@
 	}
 	s.dispatchedAt = now
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].due.Before(jobs[b].due) })
-	ready := []*work{}
+	ready := []*ownedItem{}
 	for _, each := range jobs {
-		if !s.endings.isHeld(each.job.ID) {
-			ready = append(ready, each.waiting(now)...)
+		if !s.cancellations.isBlocked(each.job.ID) {
+			ready = append(ready, each.sendable(now)...)
 		}
 	}
 	s.placer.begin(len(ready), s.backends.PeerWaiting(), now, s.propagationWindow())
@@ -120,10 +120,10 @@
 }
 
 // waitingItems counts the items that could be sent.
-func (s *Service) waitingItems(jobs []*owned, now time.Time) int {
+func (s *Service) waitingItems(jobs []*ownedJob, now time.Time) int {
 	count := 0
 	for _, each := range jobs {
-		count += len(each.waiting(now))
+		count += len(each.sendable(now))
 	}
 	return count
 }
@@ -134,16 +134,16 @@
 
 // dispatch sends one item if a backend has room, or gives it up if its time
 // is over. It reports false when the item goes on waiting.
-func (s *Service) dispatch(waiting *work, now time.Time) bool {
+func (s *Service) dispatch(waiting *ownedItem, now time.Time) bool {
 	held := waiting.owner
 	if waiting.malformed != nil {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
 		s.log.Info("item_abandoned", "job", held.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		held.finish(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
 	if !held.giveUp.IsZero() && now.After(held.giveUp) {
-		held.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		held.finish(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
 	matched, service, found := s.routeOf(held.job.Host, waiting.item)
@@ -167,7 +167,7 @@
 	}
 	ctx, cancel := context.WithCancel(held.ctx)
 	held.mutex.Lock()
-	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isYielding = itemRunning, chosen.ID, now, cancel, false
+	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isPreempted = itemRunning, chosen.ID, now, cancel, false
 	held.mutex.Unlock()
 	permit := func() error {
 		err := s.permit(waiting)
@@ -188,7 +188,7 @@
 
 // countSend counts an attempt at an item that is about to leave, and returns its number
 // and the epoch of the ownership under which it leaves.
-func (o *owned) countSend(leaving *work) (number int, epoch int64) {
+func (o *ownedJob) countSend(leaving *ownedItem) (number int, epoch int64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	leaving.sends++
@@ -197,7 +197,7 @@
 
 // restQuarantined has an item that is quarantined wait, and reports whether it
 // is. It takes no part of the room, and is given up when its time is over.
-func (s *Service) restQuarantined(waiting *work, now time.Time) bool {
+func (s *Service) restQuarantined(waiting *ownedItem, now time.Time) bool {
 	if s.quarantine == nil {
 		return false
 	}
@@ -239,7 +239,7 @@
 }
 
 // isUrgent reports whether an item must run now to end before it is due.
-func (s *Service) isUrgent(waiting *work, now time.Time) bool {
+func (s *Service) isUrgent(waiting *ownedItem, now time.Time) bool {
 	ran := waiting.owner.ranFor(waiting, now)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -257,18 +257,18 @@
 	}
 	now := time.Now()
 	window := s.propagationWindow()
-	s.yielder.forget(now, window)
+	s.preempter.forget(now, window)
 	running := map[string][]runningItem{}
 	for _, each := range jobs {
-		for _, item := range each.staying() {
-			running[item.backend] = append(running[item.backend], runningItem{work: item, isUrgent: s.isUrgent(item, now)})
+		for _, item := range each.notPreempted() {
+			running[item.backend] = append(running[item.backend], runningItem{ownedItem: item, isUrgent: s.isUrgent(item, now)})
 		}
 	}
 	for _, candidate := range s.loadsOf(running) {
 		for _, item := range s.itemsToYield(candidate, running[candidate.ID], now, window) {
 			s.log.Info("item_yielded", "job", item.owner.job.ID, "item", item.item.ID, "backend", candidate.ID, "urgent", item.isUrgent,
 				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.last())
-			item.yield()
+			item.preempt()
 		}
 	}
 }
@@ -282,9 +282,9 @@
 	s.mutex.Unlock()
 	items := []runningItem{}
 	for _, each := range jobs {
-		for _, item := range each.staying() {
+		for _, item := range each.notPreempted() {
 			if item.backend == id {
-				items = append(items, runningItem{work: item, isUrgent: s.isUrgent(item, now)})
+				items = append(items, runningItem{ownedItem: item, isUrgent: s.isUrgent(item, now)})
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 	sortForYielding(items)
 	chosen := items[0]
 	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.last())
-	chosen.yield()
+	chosen.preempt()
 }
 
 // sortForYielding puts those items first that give way first: the ones that are
@@ -315,13 +315,13 @@
 
 // runningItem is an item at a backend.
 type runningItem struct {
-	*work
+	*ownedItem
 	isUrgent bool
 }
 
 // itemsToYield chooses which of the items at a backend are taken back.
 func (s *Service) itemsToYield(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
-	count := s.yielder.share(candidate, now, window)
+	count := s.preempter.share(candidate, now, window)
 	sortForYielding(items)
 	return items[:min(count, len(items))]
 }
@@ -339,7 +339,7 @@
 	for service := range services {
 		isRoomy := s.isRoomy(service, now)
 		for _, candidate := range s.backends.Candidates(service, nil, now) {
-			if len(running[candidate.ID]) > 0 && s.yielder.stands(candidate, isRoomy, now) {
+			if len(running[candidate.ID]) > 0 && s.preempter.stands(candidate, isRoomy, now) {
 				loads = append(loads, candidate)
 			}
 		}
--- a/internal/job/held.go
+++ b/internal/job/held.go
@@ -51,7 +51,7 @@
 	// A daemon that stops must not keep callers longer than it may take to stop.
 	defer context.AfterFunc(s.stopped, cancel)()
 	started := time.Now()
-	leave, isHeld := s.held.Add(submitted.contentBytes())
+	leave, isHeld := s.submissions.Add(submitted.contentBytes())
 	switch {
 	case isHeld:
 	case s.availability.Recheck(ctx):
@@ -61,7 +61,7 @@
 		return false, s.endHold(submitted, started, holdRefused)
 	}
 	defer leave()
-	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.held.Count(), "away_ms", s.awayFor(started).Milliseconds())
+	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.submissions.Count(), "away_ms", s.awayFor(started).Milliseconds())
 	if s.availability.AwaitReturn(ctx) {
 		return true, s.endHold(submitted, started, holdReturned)
 	}
@@ -106,7 +106,7 @@
 // nothing of it can take effect any more, and its caller still waits.
 func isWorthHolding(ctx context.Context, err error) bool {
 	failed := failure.From(err)
-	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeEndedEarly
+	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeCancelledEarly
 }
 
 // contentBytes is the size of what the items hold.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -193,11 +193,11 @@
 	return failure.Wrap(cause, failure.KindUnavailable, "store_unavailable", "the store does not answer").WithNotRun().WithRetryAfter(retryAfterStore)
 }
 
-func outcomeUnknown(cause error) error {
+func acceptanceUnknown(cause error) error {
 	return failure.Wrap(cause, failure.KindOutcomeUnknown, "acceptance_unknown", "the store did not tell whether the job was accepted: send it again")
 }
 
-func endUnknown(cause error) error {
+func cancelUnknown(cause error) error {
 	return failure.Wrap(cause, failure.KindOutcomeUnknown, "end_unknown", "the store did not tell whether the job was ended: end it again")
 }
 
--- a/internal/job/owned.go
+++ b/internal/job/ownedjob.go
@@ -19,9 +19,9 @@
 )
 
 // work is one item of an owned job. owned.mutex guards it, but for progress.
-type work struct {
+type ownedItem struct {
 	item  Item
-	owner *owned
+	owner *ownedJob
 	// fingerprint identifies the item's content whatever its id.
 	fingerprint quarantine.Fingerprint
 	state       itemState
@@ -34,8 +34,8 @@
 	sends  int
 	cancel context.CancelFunc
 	// isYielding tells that the present run was taken back and is about to end.
-	isYielding bool
-	progress   progress
+	isPreempted bool
+	progress    progress
 	// malformed tells why the item can never be sent: jobs that were accepted by
 	// versions which did not check their items may hold such.
 	malformed error
@@ -44,15 +44,15 @@
 }
 
 // yield takes a running item back.
-func (w *work) yield() {
+func (w *ownedItem) preempt() {
 	w.owner.mutex.Lock()
-	w.isYielding = true
+	w.isPreempted = true
 	w.owner.mutex.Unlock()
 	w.cancel()
 }
 
 // owned is a job that this daemon runs. mutex guards the fields below it.
-type owned struct {
+type ownedJob struct {
 	service *Service
 	job     Job
 	due     time.Time
@@ -62,14 +62,14 @@
 
 	mutex      sync.Mutex
 	claim      versionedClaim
-	works      []*work
+	items      []*ownedItem
 	committed  int
 	finished   []Result
 	committing bool
 	// commitLimit is the most text of the next commit, in bytes.
-	commitLimit int
-	dropped     bool
-	commit      chan struct{}
+	commitLimit     int
+	dropped         bool
+	committedSignal chan struct{}
 	// settled is what the job's account was last told of it.
 	settled settlement
 }
@@ -88,11 +88,11 @@
 }
 
 // own starts running a job under a claim.
-func (s *Service) own(accepted Job, held versionedClaim, earlier history) {
+func (s *Service) startJob(accepted Job, held versionedClaim, earlier history) {
 	ctx, cancel := context.WithCancel(s.lifetime)
-	started := &owned{
+	started := &ownedJob{
 		service: s, job: accepted, due: accepted.SubmittedAt.Add(accepted.Due), ctx: ctx, cancel: cancel,
-		claim: held, committed: len(earlier.listed), commit: make(chan struct{}), commitLimit: commitBytes,
+		claim: held, committed: len(earlier.listed), committedSignal: make(chan struct{}), commitLimit: maxCommitBytes,
 		settled: earlier.settled,
 	}
 	if started.settled.at.IsZero() {
@@ -110,13 +110,13 @@
 		if done[item.ID] {
 			state = itemFinished
 		}
-		begun := &work{item: item, owner: started, state: state, malformed: item.Check()}
+		begun := &ownedItem{item: item, owner: started, state: state, malformed: item.Check()}
 		begun.fingerprint = quarantine.FingerprintOf(itemMethod, item.Path, accepted.Tenant, item.Body)
 		begun.progress.restore(earlier.checkpoints[item.ID])
-		started.works = append(started.works, begun)
+		started.items = append(started.items, begun)
 	}
 	s.mutex.Lock()
-	if s.stopping || s.owned[accepted.ID] != nil || s.isSuperseded(accepted.ID, held.version) || s.isGone(accepted.ID, held.version) {
+	if s.stopping || s.owned[accepted.ID] != nil || s.isSuperseded(accepted.ID, held.version) || s.isKnownRemoved(accepted.ID, held.version) {
 		s.mutex.Unlock()
 		cancel()
 		s.log.Info("job_not_owned", "job", accepted.ID, "epoch", held.claim.Epoch, "version", held.version)
@@ -143,20 +143,20 @@
 	dropEnded        dropReason = "ended"
 	dropClaimRemoved dropReason = "claim_removed"
 	// dropToldEnded tells that the daemon told which ended the job.
-	dropToldEnded dropReason = "told_ended"
-	dropClaimLost dropReason = "claim_lost"
+	dropReportedEnded dropReason = "told_ended"
+	dropClaimLost     dropReason = "claim_lost"
 	// dropOutOfStep tells that results are listed which this owner does not know of:
 	// it holds the claim, and reads the job anew.
-	dropOutOfStep dropReason = "out_of_step"
-	dropStopping  dropReason = "stopping"
+	dropUnknownResults dropReason = "out_of_step"
+	dropStopping       dropReason = "stopping"
 )
 
 // isClaimGone reports whether the claim that was held is gone.
-func (r dropReason) isClaimGone() bool { return r != dropOutOfStep && r != dropStopping }
+func (r dropReason) losesClaim() bool { return r != dropUnknownResults && r != dropStopping }
 
 // isOver reports whether nobody runs the job any more.
 func (r dropReason) isOver() bool {
-	return r == dropFinished || r == dropEnded || r == dropClaimRemoved || r == dropToldEnded
+	return r == dropFinished || r == dropEnded || r == dropClaimRemoved || r == dropReportedEnded
 }
 
 // drop stops running a job whose claim is gone.
@@ -171,14 +171,14 @@
 
 // drop stops running the job under this claim. The daemon may have taken the
 // job up again meanwhile, under a later claim, which is left alone.
-func (o *owned) drop(reason dropReason) {
+func (o *ownedJob) drop(reason dropReason) {
 	s := o.service
 	s.mutex.Lock()
 	if s.owned[o.job.ID] == o {
 		delete(s.owned, o.job.ID)
 	}
-	if reason.isClaimGone() {
-		s.noteClaimGone(o.job.ID, o.claim.version)
+	if reason.losesClaim() {
+		s.markClaimRemoved(o.job.ID, o.claim.version)
 	}
 	s.mutex.Unlock()
 	o.mutex.Lock()
@@ -189,7 +189,7 @@
 		return
 	}
 	o.cancel()
-	o.announceCommit()
+	o.notifyCommit()
 	if reason.isOver() {
 		s.noteOver(o)
 	}
@@ -197,25 +197,25 @@
 }
 
 // nextCommit returns a channel that is closed at the next commit.
-func (o *owned) nextCommit() <-chan struct{} {
+func (o *ownedJob) nextCommit() <-chan struct{} {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.commit
+	return o.committedSignal
 }
 
-func (o *owned) announceCommit() {
+func (o *ownedJob) notifyCommit() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	close(o.commit)
-	o.commit = make(chan struct{})
+	close(o.committedSignal)
+	o.committedSignal = make(chan struct{})
 }
 
 // waiting returns the items that may be sent now.
-func (o *owned) waiting(now time.Time) []*work {
+func (o *ownedJob) sendable(now time.Time) []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	ready := []*work{}
-	for _, each := range o.works {
+	ready := []*ownedItem{}
+	for _, each := range o.items {
 		if each.state == itemWaiting && !now.Before(each.notBefore) {
 			ready = append(ready, each)
 		}
@@ -224,11 +224,11 @@
 }
 
 // running returns the items that are at backends.
-func (o *owned) running() []*work {
+func (o *ownedJob) running() []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	found := []*work{}
-	for _, each := range o.works {
+	found := []*ownedItem{}
+	for _, each := range o.items {
 		if each.state == itemRunning {
 			found = append(found, each)
 		}
@@ -237,13 +237,13 @@
 }
 
 // staying returns the items that are at backends and were not taken back.
-func (o *owned) staying() []*work {
-	found := []*work{}
+func (o *ownedJob) notPreempted() []*ownedItem {
+	found := []*ownedItem{}
 	running := o.running()
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, each := range running {
-		if !each.isYielding {
+		if !each.isPreempted {
 			found = append(found, each)
 		}
 	}
@@ -251,7 +251,7 @@
 }
 
 // ranFor returns how long an item has run, over all its attempts.
-func (o *owned) ranFor(item *work, now time.Time) time.Duration {
+func (o *ownedJob) ranFor(item *ownedItem, now time.Time) time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if item.state == itemRunning {
@@ -261,7 +261,7 @@
 }
 
 // end records the end of an item and sees to its commit.
-func (o *owned) end(ended *work, result Result) {
+func (o *ownedJob) finish(ended *ownedItem, result Result) {
 	o.mutex.Lock()
 	if ended.state == itemFinished || o.dropped {
 		o.mutex.Unlock()
@@ -279,7 +279,7 @@
 }
 
 // requeue puts a running item back; it is sent again after the pause.
-func (o *owned) requeue(returned *work, pause time.Duration) {
+func (o *ownedJob) requeue(returned *ownedItem, pause time.Duration) {
 	o.mutex.Lock()
 	if returned.state == itemRunning {
 		returned.state = itemWaiting
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -40,7 +40,7 @@
 // permit returns an error unless an item may reach a backend now. It is asked when
 // the connection is there, just before the first byte leaves: what was known when the
 // item was placed may be old by then.
-func (s *Service) permit(starting *work) error {
+func (s *Service) permit(starting *ownedItem) error {
 	age := s.claimsAge()
 	held := starting.owner
 	held.mutex.Lock()
@@ -51,7 +51,7 @@
 		return withheld(withheldDropped, age)
 	case age > claimsAgeLimit:
 		return withheld(withheldOldClaims, age)
-	case s.endings.isHeld(held.job.ID):
+	case s.cancellations.isBlocked(held.job.ID):
 		return withheld(withheldEnding, age)
 	}
 	return nil
@@ -68,8 +68,8 @@
 func (s *Service) mayStartItems() bool {
 	age := s.claimsAge()
 	isOld := age > claimsAgeLimit
-	if isOld != s.claimsAreOld {
-		s.claimsAreOld = isOld
+	if isOld != s.hasStaleClaims {
+		s.hasStaleClaims = isOld
 		event := "claims_regained"
 		if isOld {
 			event = "claims_too_old"
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -171,12 +171,12 @@
 }
 
 // saveProgress writes checkpoints of items with at least so many new events.
-func (o *owned) saveProgress(ctx context.Context, events int64) {
+func (o *ownedJob) saveProgress(ctx context.Context, events int64) {
 	transaction := table.Transaction{
 		Partition:  shard(o.job.ID),
 		Conditions: []table.Condition{{Table: tableClaim, Key: o.job.ID, Version: o.claim.version}},
 	}
-	saved := map[*work]checkpoint{}
+	saved := map[*ownedItem]checkpoint{}
 	size := 0
 	for _, each := range o.longestUnsaved() {
 		taken, isDue := each.progress.due(events)
@@ -209,11 +209,11 @@
 	}
 }
 
-func (o *owned) unfinished() []*work {
+func (o *ownedJob) unfinished() []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	found := []*work{}
-	for _, each := range o.works {
+	found := []*ownedItem{}
+	for _, each := range o.items {
 		if each.state != itemFinished {
 			found = append(found, each)
 		}
@@ -223,21 +223,21 @@
 
 // longestUnsaved returns the unfinished items, those with the most events since
 // their last checkpoint first.
-func (o *owned) longestUnsaved() []*work {
+func (o *ownedJob) longestUnsaved() []*ownedItem {
 	found := o.unfinished()
-	unsaved := make(map[*work]int64, len(found))
+	unsaved := make(map[*ownedItem]int64, len(found))
 	for _, each := range found {
 		unsaved[each] = each.progress.unsaved()
 	}
-	slices.SortStableFunc(found, func(a, b *work) int { return cmp.Compare(unsaved[b], unsaved[a]) })
+	slices.SortStableFunc(found, func(a, b *ownedItem) int { return cmp.Compare(unsaved[b], unsaved[a]) })
 	return found
 }
 
 // hasCheckpoint reports whether a row of the item's progress may exist.
-func (o *owned) hasCheckpoint(item string) bool {
+func (o *ownedJob) hasCheckpoint(item string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for _, each := range o.works {
+	for _, each := range o.items {
 		if each.item.ID == item {
 			each.progress.mutex.Lock()
 			defer each.progress.mutex.Unlock()
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	readAttempts = 3
-	pageResults  = 40
+	maxReadAttempts = 3
+	maxPageResults  = 40
 	// pageBytes bounds the text of one page.
-	pageBytes = 900 << 10
+	maxPageBytes = 900 << 10
 )
 
 // Results returns results from a position on. With a wait, the call is held
@@ -31,7 +31,7 @@
 	if len(page.Results) > 0 || wait <= 0 || from >= accepted.Total {
 		return page, nil
 	}
-	if !s.awaitProgress(ctx, id, wait) {
+	if !s.awaitResults(ctx, id, wait) {
 		return page, nil
 	}
 	page.Results, err = s.results(ctx, id, from)
@@ -40,21 +40,21 @@
 
 // awaitProgress waits for results of a job: for a commit of the owner if that
 // is this daemon, else for the whole time.
-func (s *Service) awaitProgress(ctx context.Context, id string, wait time.Duration) bool {
+func (s *Service) awaitResults(ctx context.Context, id string, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-timer.C:
-	case <-s.progress(id):
+	case <-s.nextCommit(id):
 	}
 	return true
 }
 
 // progress returns a channel that is closed at the next commit of an owned
 // job, or nil.
-func (s *Service) progress(id string) <-chan struct{} {
+func (s *Service) nextCommit(id string) <-chan struct{} {
 	s.mutex.Lock()
 	held := s.owned[id]
 	s.mutex.Unlock()
@@ -110,7 +110,7 @@
 			return nil, err
 		}
 		size += len(result.Text)
-		if size > pageBytes && len(results) > 0 {
+		if size > maxPageBytes && len(results) > 0 {
 			break
 		}
 		results = append(results, result)
@@ -122,12 +122,12 @@
 // answered in time, because the link may carry no more, and more again later.
 func (s *Service) resultRows(ctx context.Context, id string, from int) ([]table.Row, error) {
 	var page table.Page
-	err := s.retryRead(ctx, storeAttempt, func(bounded context.Context) (err error) {
+	err := s.retryRead(ctx, attemptTimeout, func(bounded context.Context) (err error) {
 		limit := s.pageLimit.current()
 		page, err = s.store.Read(bounded, table.Range{
 			Table: tableResult, Partition: shard(id), From: numberedKey(id, from), Before: numberedEnd(id), Limit: limit,
 		})
-		s.pageLimit.note(limit, err)
+		s.pageLimit.adjust(limit, err)
 		return err
 	})
 	return page.Rows, err
@@ -137,21 +137,21 @@
 // is safe for concurrent use.
 type pageLimit struct {
 	// missing is by how many results the limit lies below pageResults.
-	missing atomic.Int64
+	reduction atomic.Int64
 }
 
-func (l *pageLimit) current() int { return pageResults - int(l.missing.Load()) }
+func (l *pageLimit) current() int { return maxPageResults - int(l.reduction.Load()) }
 
 // note learns from a call that was made with a limit.
-func (l *pageLimit) note(limit int, err error) {
-	next := min(limit*2, pageResults)
+func (l *pageLimit) adjust(limit int, err error) {
+	next := min(limit*2, maxPageResults)
 	if err != nil {
 		if !isUnknown(err) {
 			return
 		}
 		next = max(limit/2, 1)
 	}
-	l.missing.Store(int64(pageResults - next))
+	l.reduction.Store(int64(maxPageResults - next))
 }
 
 func (s *Service) result(ctx context.Context, row table.Row) (Result, error) {
@@ -170,12 +170,12 @@
 
 // read reads a row or a few, a few times if the store fails.
 func (s *Service) read(ctx context.Context, wanted table.Range) ([]table.Row, error) {
-	return s.readFor(ctx, storeAttempt, wanted)
+	return s.readFor(ctx, attemptTimeout, wanted)
 }
 
 // readContent reads rows that together may be as large as a job's content.
 func (s *Service) readContent(ctx context.Context, wanted table.Range) ([]table.Row, error) {
-	return s.readFor(ctx, attemptTime(contentBytes), wanted)
+	return s.readFor(ctx, timeoutFor(maxContentBytes), wanted)
 }
 
 func (s *Service) readFor(ctx context.Context, attempt time.Duration, wanted table.Range) ([]table.Row, error) {
@@ -189,7 +189,7 @@
 
 func (s *Service) getObject(ctx context.Context, name string) ([]byte, error) {
 	var content []byte
-	err := s.retryRead(ctx, attemptTime(contentBytes), func(bounded context.Context) (err error) {
+	err := s.retryRead(ctx, timeoutFor(maxContentBytes), func(bounded context.Context) (err error) {
 		content, err = s.store.GetObject(bounded, name)
 		return err
 	})
@@ -198,14 +198,14 @@
 
 func (s *Service) retryRead(ctx context.Context, attempt time.Duration, call func(context.Context) error) error {
 	var err error
-	for range readAttempts {
+	for range maxReadAttempts {
 		bounded, cancel := context.WithTimeout(ctx, attempt)
 		err = call(bounded)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		if !periodic.SleepAbout(ctx, storePause) {
+		if !periodic.SleepAbout(ctx, retryPause) {
 			break
 		}
 	}
--- a/internal/job/room.go
+++ b/internal/job/room.go
@@ -12,13 +12,13 @@
 // observeDemand samples the load of the services that run items until the context ends.
 // It goes on while no job is owned: the rhythm of demand takes two periods to show.
 func (s *Service) observeDemand(ctx context.Context) {
-	if s.rooms.policy == batchcapacity.PolicyFree {
+	if s.capacities.policy == batchcapacity.PolicyFree {
 		return
 	}
 	periodic.Run(ctx, batchcapacity.SampleInterval, func() {
 		now := time.Now()
 		for _, service := range s.itemServices() {
-			before, after := s.rooms.note(service, s.backends.ServiceLoad(service, now), now)
+			before, after := s.capacities.note(service, s.backends.ServiceLoad(service, now), now)
 			if (before == 0) != (after == 0) {
 				s.log.Info("demand_rhythm", "service", service, "period_ms", after.Milliseconds(), "period_before_ms", before.Milliseconds())
 			}
@@ -37,7 +37,7 @@
 		return true
 	}
 	load := s.backends.ServiceLoad(instance.Service, now)
-	if s.rooms.mustGiveWay(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
+	if s.capacities.mustGiveWay(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
 		return true
 	}
 	s.metrics.BatchRoom.WithLabelValues("stays").Inc()
@@ -57,7 +57,7 @@
 	if !found || configured.ReservationTime <= 0 {
 		return batchcapacity.PolicyFree
 	}
-	return s.rooms.policy
+	return s.capacities.policy
 }
 
 // isRoomy reports whether requests that ask find places at a service, so that work beyond
@@ -66,7 +66,7 @@
 	if s.roomPolicy(service) == batchcapacity.PolicyFree {
 		return false
 	}
-	return s.rooms.isRoomy(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
+	return s.capacities.isRoomy(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
 }
 
 // itemServices lists the services to which items go.
@@ -92,11 +92,11 @@
 func (s *Service) roomAt(service string, now time.Time) batchcapacity.Capacity {
 	load := s.backends.ServiceLoad(service, now)
 	itemTime, policy := s.itemTime(), s.roomPolicy(service)
-	room := s.rooms.decide(policy, service, load, itemTime, s.propagationWindow())
+	room := s.capacities.decide(policy, service, load, itemTime, s.propagationWindow())
 	room = onlyWhereLess(room, policy, load.Slots-load.Online-load.Batch)
 	waiting := s.placer.all
 	s.metrics.BatchRoom.WithLabelValues(roomLabel(room, waiting)).Inc()
-	if waiting > room.Deferrable && s.rooms.mayLog(service, now) {
+	if waiting > room.Deferrable && s.capacities.mayLog(service, now) {
 		s.log.Info("batch_room", "service", service, "policy", string(policy), "slots", load.Slots, "online", load.Online, "batch", load.Batch,
 			"room", room.Deferrable, "reserve", room.Reserve, "period_ms", room.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
 			"waiting", waiting, "own_waiting", s.placer.own)
@@ -138,7 +138,7 @@
 }
 
 // mustRun reports whether an item cannot wait for a burst to pass.
-func (s *Service) mustRun(waiting *work, service string, now time.Time) bool {
+func (s *Service) mustRun(waiting *ownedItem, service string, now time.Time) bool {
 	itemTime := s.itemTime()
 	share := s.placer.share(service)
 	timing := batchcapacity.Timing{
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -92,10 +92,10 @@
 	log         *slog.Logger
 	connections func(service string) int
 	// settledAt is when items are placed even if no other daemon was heard.
-	settledAt time.Time
+	placeAfter time.Time
 
-	lifetime context.Context
-	end      context.CancelFunc
+	lifetime       context.Context
+	cancelLifetime context.CancelFunc
 	// stopped ends when the daemon begins to stop, by stop.
 	stopped context.Context
 	stop    context.CancelFunc
@@ -103,18 +103,18 @@
 	// dispatchedAt belongs to the dispatcher's goroutine.
 	dispatchedAt time.Time
 	// claimsAreOld belongs to it too.
-	claimsAreOld bool
-	placer       *placer
-	rooms        *rooms
-	yielder      *yielder
-	quota        *quota.Accounts
-	quarantine   *quarantine.Guard
-	claimsAge    func() time.Duration
-	availability Availability
-	held         *submissionbuffer.Buffer
-	sweeper      sweeper
-	endings      endings
-	pageLimit    pageLimit
+	hasStaleClaims bool
+	placer         *placer
+	capacities     *rooms
+	preempter      *yielder
+	quota          *quota.Accounts
+	quarantine     *quarantine.Guard
+	claimsAge      func() time.Duration
+	availability   Availability
+	submissions    *submissionbuffer.Buffer
+	sweeper        sweeper
+	cancellations  cancellations
+	pageLimit      pageLimit
 
 	mutex sync.Mutex
 	clock itemClock
@@ -124,18 +124,18 @@
 	followed table.Version
 	// gone are the versions up to which claims are known to be gone although the copy
 	// that is followed still may have them, by job.
-	gone map[string]table.Version
+	removed map[string]table.Version
 	// orphans are the jobs whose owner is missing, with the time since when;
 	// claimedAt is when a claim was last seen to change.
 	orphans   map[string]time.Time
 	claimedAt map[string]time.Time
 	takeovers takeovers
-	owned     map[string]*owned
+	owned     map[string]*ownedJob
 	accepted  map[string]acceptance
 	// over are jobs that ended here and whose account was not told yet.
-	over       map[string]overJob
-	submission int64
-	stopping   bool
+	unsettledJobs map[string]overJob
+	submission    int64
+	stopping      bool
 }
 
 // versionedClaim is a claim with the version of its row, the fence of every
@@ -147,17 +147,17 @@
 
 // NewService returns a service; Run makes it work.
 func NewService(dependencies Dependencies) *Service {
-	lifetime, end := context.WithCancel(context.Background())
+	lifetime, cancelLifetime := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(lifetime)
 	service := &Service{
 		self: dependencies.Self, store: dependencies.Store, backends: dependencies.Backends, sender: dependencies.Sender,
 		holder: dependencies.Holder, peers: dependencies.Peers, metrics: dependencies.Metrics, log: dependencies.Logger,
-		connections: dependencies.Connections, settledAt: time.Now().Add(dependencies.SettlingTime),
-		lifetime: lifetime, end: end, stopped: stopped, stop: stop, wake: make(chan struct{}, 1),
-		rooms: newRooms(dependencies.BatchCapacity, newRandom()), yielder: newYielder(newRandom()),
-		claims: map[string]versionedClaim{}, gone: map[string]table.Version{}, orphans: map[string]time.Time{}, claimedAt: map[string]time.Time{}, takeovers: newTakeovers(), owned: map[string]*owned{}, accepted: map[string]acceptance{},
+		connections: dependencies.Connections, placeAfter: time.Now().Add(dependencies.SettlingTime),
+		lifetime: lifetime, cancelLifetime: cancelLifetime, stopped: stopped, stop: stop, wake: make(chan struct{}, 1),
+		capacities: newRooms(dependencies.BatchCapacity, newRandom()), preempter: newYielder(newRandom()),
+		claims: map[string]versionedClaim{}, removed: map[string]table.Version{}, orphans: map[string]time.Time{}, claimedAt: map[string]time.Time{}, takeovers: newTakeovers(), owned: map[string]*ownedJob{}, accepted: map[string]acceptance{},
 		quota: dependencies.Quota, quarantine: dependencies.Quarantine, claimsAge: dependencies.ClaimsAge,
-		availability: dependencies.Availability, held: submissionbuffer.New(dependencies.SubmissionLimits), over: map[string]overJob{}, sweeper: newSweeper(), endings: newEndings(),
+		availability: dependencies.Availability, submissions: submissionbuffer.New(dependencies.SubmissionLimits), unsettledJobs: map[string]overJob{}, sweeper: newSweeper(), cancellations: newCancellations(),
 	}
 	service.placer = newPlacer(newRandom(), dependencies.Zone, service.roomAt)
 	return service
@@ -169,7 +169,7 @@
 func (s *Service) Run(ctx context.Context) {
 	go func() {
 		<-ctx.Done()
-		s.end()
+		s.cancelLifetime()
 	}()
 	go s.superviseClaims(ctx)
 	go s.saveAll(ctx)
@@ -196,8 +196,8 @@
 }
 
 // ownedJobs lists the owned jobs. mutex must be held.
-func (s *Service) ownedJobs() []*owned {
-	jobs := make([]*owned, 0, len(s.owned))
+func (s *Service) ownedJobs() []*ownedJob {
+	jobs := make([]*ownedJob, 0, len(s.owned))
 	for _, each := range s.owned {
 		jobs = append(jobs, each)
 	}
--- a/internal/job/storecall.go
+++ b/internal/job/storecall.go
@@ -9,18 +9,18 @@
 
 const (
 	// storePause is the mean pause between two tries of a call.
-	storePause = 60 * time.Millisecond
+	retryPause = 60 * time.Millisecond
 	// storeAttempt bounds one call that carries little; slow stores answer
 	// within half of it.
-	storeAttempt = 900 * time.Millisecond
+	attemptTimeout = 900 * time.Millisecond
 	// slowLinkBytes is what a link carries in a second at least: a tenth of the
 	// slowest links of 30 Mbit/s, whose rest other work may take.
-	slowLinkBytes = 384 << 10
+	minLinkRate = 384 << 10
 )
 
 // attemptTime bounds one call that carries so many bytes.
-func attemptTime(size int) time.Duration {
-	return storeAttempt + time.Duration(size)*time.Second/slowLinkBytes
+func timeoutFor(size int) time.Duration {
+	return attemptTimeout + time.Duration(size)*time.Second/minLinkRate
 }
 
 // commit tries a transaction once, for as long as its size takes on a slow link.
@@ -29,7 +29,7 @@
 	for _, write := range transaction.Writes {
 		size += len(write.Value)
 	}
-	bounded, cancel := context.WithTimeout(ctx, attemptTime(size))
+	bounded, cancel := context.WithTimeout(ctx, timeoutFor(size))
 	defer cancel()
 	return s.store.Commit(bounded, transaction)
 }
--- a/internal/job/sweep.go
+++ b/internal/job/sweep.go
@@ -135,7 +135,7 @@
 func (s *Service) isLeftBehind(ctx context.Context, id string) bool {
 	_, err := s.acceptance(ctx, id)
 	if failure.Is(err, failure.KindNotFound) {
-		return s.void(ctx, id, voiding{By: s.self.Name}) == nil
+		return s.voidAcceptances(ctx, id, voidRow{By: s.self.Name}) == nil
 	}
 	if err != nil {
 		return false
--- a/internal/job/takeover.go
+++ b/internal/job/takeover.go
@@ -65,7 +65,7 @@
 // superviseClaims takes over jobs whose owners are gone.
 func (s *Service) superviseClaims(ctx context.Context) {
 	periodic.Run(ctx, superviseInterval, func() {
-		for id, held := range s.orphaned(time.Now()) {
+		for id, held := range s.dueOrphans(time.Now()) {
 			if s.beginTakeover(id) {
 				go s.takeOver(ctx, id, held)
 			}
@@ -95,7 +95,7 @@
 	}
 	loaded, earlier, step, err := s.readOrphan(ctx, id)
 	if err == nil {
-		s.own(loaded, claimed, earlier)
+		s.startJob(loaded, claimed, earlier)
 		s.endTakeover(id, false)
 		return
 	}
--- a/internal/job/tenant.go
+++ b/internal/job/tenant.go
@@ -38,11 +38,11 @@
 
 func (t TenantJobs) check(ctx context.Context, id string) error {
 	accepted, err := t.service.acceptance(ctx, id)
-	if failure.Is(err, failure.KindNotFound) && t.service.awaitFirstClaims(ctx) {
+	if failure.Is(err, failure.KindNotFound) && t.service.awaitInitialClaims(ctx) {
 		accepted, err = t.service.acceptance(ctx, id)
 	}
 	if err != nil {
-		return t.service.unlessUnsure(err)
+		return t.service.checkClaimsAge(err)
 	}
 	if !mayAccess(accepted.Tenant, t.tenant) {
 		t.service.log.Info("job_call_of_other_tenant", "job", id, "tenant", t.tenant)
@@ -54,18 +54,18 @@
 // unlessUnsure returns the error of a job that was not found, or that nothing is known
 // for sure: the read may have been an old one. Whoever has heard nothing for a while, as
 // behind a pause, does not know the versions by which that is told.
-func (s *Service) unlessUnsure(err error) error {
+func (s *Service) checkClaimsAge(err error) error {
 	if age := s.claimsAge(); failure.Is(err, failure.KindNotFound) && age > claimsAgeLimit {
-		return unavailable(&unsureError{claimsAge: age})
+		return unavailable(&staleClaimsError{claimsAge: age})
 	}
 	return err
 }
 
 // unsureError tells that nothing is known for sure of what was not found.
-type unsureError struct{ claimsAge time.Duration }
+type staleClaimsError struct{ claimsAge time.Duration }
 
 // Error implements error.
-func (e *unsureError) Error() string {
+func (e *staleClaimsError) Error() string {
 	return "the read may be old: claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
 }
 
--- a/internal/job/void.go
+++ b/internal/job/voidrow.go
@@ -11,38 +11,40 @@
 
 // voiding is the row that makes the acceptances of a job fail that were under way when
 // it was written. An acceptance that finds it, and still wants the job, replaces it.
-type voiding struct {
+type voidRow struct {
 	// By is the daemon that wrote the row.
 	By string `json:"by"`
 	// IsEnded tells that Tenant ended the job before its acceptance was known.
-	IsEnded bool   `json:"ended,omitempty"`
-	Tenant  string `json:"tenant,omitempty"`
+	IsCancelled bool   `json:"ended,omitempty"`
+	Tenant      string `json:"tenant,omitempty"`
 }
 
 // ends reports whether the job was ended by one who may end the tenant's jobs.
-func (v voiding) ends(tenant string) bool { return v.IsEnded && mayAccess(tenant, v.Tenant) }
+func (v voidRow) isCancelledFor(tenant string) bool {
+	return v.IsCancelled && mayAccess(tenant, v.Tenant)
+}
 
 // acceptedMeanwhileError tells that a job exists whose acceptances were to be voided.
-type acceptedMeanwhileError struct{ job string }
+type acceptedError struct{ job string }
 
 // Error implements error.
-func (e *acceptedMeanwhileError) Error() string { return "job " + e.job + " is accepted" }
+func (e *acceptedError) Error() string { return "job " + e.job + " is accepted" }
 
 // endedMeanwhileError tells that a job was ended while its acceptance was under way.
-type endedMeanwhileError struct{ job string }
+type cancelledError struct{ job string }
 
 // Error implements error.
-func (e *endedMeanwhileError) Error() string {
+func (e *cancelledError) Error() string {
 	return "job " + e.job + " was ended while its acceptance was under way"
 }
 
 // void makes every try to accept the job that is under way fail: those that expect no
 // row, and those that expect one of an earlier version. That a client ended the job stays.
 // It returns an acceptedMeanwhileError if the job exists.
-func (s *Service) void(ctx context.Context, id string, writing voiding) error {
+func (s *Service) voidAcceptances(ctx context.Context, id string, writing voidRow) error {
 	held := table.Row{}
 	for {
-		value, err := s.voidValue(held, writing)
+		value, err := s.encodeVoid(held, writing)
 		if err != nil {
 			return err
 		}
@@ -54,18 +56,18 @@
 		var conflict *table.ConflictError
 		switch {
 		case !errors.As(err, &conflict):
-			s.log.Info("job_voided", "job", id, "is_ended", writing.IsEnded, "replaced_version", held.Version, "error", err)
+			s.log.Info("job_voided", "job", id, "is_ended", writing.IsCancelled, "replaced_version", held.Version, "error", err)
 			return err
 		case conflict.Row(tableAccepted, id).Version != 0:
-			return &acceptedMeanwhileError{job: id}
+			return &acceptedError{job: id}
 		}
 		held = conflict.Row(tableVoid, id)
 	}
 }
 
 // voidValue encodes a row that replaces another.
-func (s *Service) voidValue(held table.Row, writing voiding) ([]byte, error) {
-	if before := s.voidingOf(held); before.IsEnded && !writing.IsEnded {
+func (s *Service) encodeVoid(held table.Row, writing voidRow) ([]byte, error) {
+	if before := s.decodeVoid(held); before.IsCancelled && !writing.IsCancelled {
 		return held.Value, nil
 	}
 	return encode(writing)
@@ -73,8 +75,8 @@
 
 // voidingOf reads a row. One that cannot be read was written by a sweeper of a version
 // that left its name alone.
-func (s *Service) voidingOf(row table.Row) voiding {
-	var read voiding
+func (s *Service) decodeVoid(row table.Row) voidRow {
+	var read voidRow
 	if row.Version == 0 {
 		return read
 	}
@@ -87,8 +89,8 @@
 // voidForEnd has the acceptances of a job fail that its client has ended before any of
 // them took effect: 20 of 20 items were sent for nobody where the commit of an acceptance
 // came late. It returns that the job was not found, once that is sure to stay so for them.
-func (s *Service) voidForEnd(ctx context.Context, key endingKey) error {
-	err := s.void(ctx, key.job, voiding{By: s.self.Name, IsEnded: true, Tenant: key.tenant})
+func (s *Service) voidCancelled(ctx context.Context, key cancelKey) error {
+	err := s.voidAcceptances(ctx, key.job, voidRow{By: s.self.Name, IsCancelled: true, Tenant: key.tenant})
 	if err != nil {
 		return unavailable(err) // or accepted meanwhile: the end is tried again
 	}
@@ -96,9 +98,9 @@
 }
 
 // codeEndedEarly is the code of a job that was ended before it was accepted.
-const codeEndedEarly = "job_ended_early"
+const codeCancelledEarly = "job_ended_early"
 
 // refusedAsEnded refuses a submission whose job was ended while it was under way.
-func refusedAsEnded(id string) error {
-	return failure.Wrap(&endedMeanwhileError{job: id}, failure.KindUnavailable, codeEndedEarly, "the job was ended before it was accepted").WithNotRun().WithRetryAfter(retryAfterStore)
+func cancelledSubmission(id string) error {
+	return failure.Wrap(&cancelledError{job: id}, failure.KindUnavailable, codeCancelledEarly, "the job was ended before it was accepted").WithNotRun().WithRetryAfter(retryAfterStore)
 }
--- a/internal/job/waiting.go
+++ b/internal/job/waiting.go
@@ -136,7 +136,7 @@
 }
 
 // noteOver has the account of a job that is over told.
-func (s *Service) noteOver(held *owned) {
+func (s *Service) noteOver(held *ownedJob) {
 	held.mutex.Lock()
 	told, epoch := held.settled.account, held.claim.claim.Epoch
 	held.mutex.Unlock()
@@ -149,7 +149,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.over[held.job.ID] = overJob{account: told, epoch: epoch}
+	s.unsettledJobs[held.job.ID] = overJob{account: told, epoch: epoch}
 }
 
 // settleAll tells accounts what ended until the context ends.
@@ -179,7 +179,7 @@
 type dueSettlement struct {
 	limit     quota.Limit
 	operation quota.Operation
-	owned     *owned
+	owned     *ownedJob
 }
 
 // dueSettlements returns what each account should be told now.
@@ -187,7 +187,7 @@
 	due := map[string][]dueSettlement{}
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
-	for id, ended := range s.over {
+	for id, ended := range s.unsettledJobs {
 		operation := quota.Operation{Kind: quota.KindSettle, Job: id, Holder: s.self.Name, Epoch: ended.epoch}
 		due[ended.account.name] = append(due[ended.account.name], dueSettlement{limit: ended.account.limit, operation: operation})
 	}
@@ -207,7 +207,7 @@
 }
 
 // waitingTokens is the size of the items that no backend has finished.
-func (o *owned) waitingTokens() int64 {
+func (o *ownedJob) waitingTokens() int64 {
 	total := int64(0)
 	for _, each := range o.unfinished() {
 		total += int64(each.item.Tokens)
@@ -217,7 +217,7 @@
 
 // isSettlementDue reports whether the job's account should be told what waits. A
 // job that was taken over is counted already, with more than waits at worst.
-func (o *owned) isSettlementDue(found account, waiting int64, isPressed bool, now time.Time) bool {
+func (o *ownedJob) isSettlementDue(found account, waiting int64, isPressed bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	isTold := o.settled.account.name == found.name
@@ -254,7 +254,7 @@
 	for _, each := range settled {
 		if each.owned == nil {
 			s.mutex.Lock()
-			delete(s.over, each.operation.Job)
+			delete(s.unsettledJobs, each.operation.Job)
 			s.mutex.Unlock()
 			continue
 		}
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -26,6 +26,6 @@
 mutant left_early_in_vain internal/watchdog/watchdog.go \
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
-	'	if wasUnderWay {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
+	'	if wasTried {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
 mutant holds_outlive_their_daemon internal/job/held.go \
 	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestHeldSubmissionsEndWithTheirDaemon
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -114,12 +114,12 @@
 	for index' 'Conditions: []table.Condition{},
 	}
 	for index' internal/job TestOwnerThatHearsNothingCommitsNothingAfterTheEnd
-mutant no_end_check_at_takeover internal/job/owned.go \
+mutant no_end_check_at_takeover internal/job/ownedjob.go \
 	's.followed >= version && s.claims[id].version != version' 'false' internal/job TestJobEndedDuringTakeoverIsNotRun
-mutant job_taken_up_again internal/job/owned.go \
-	'if reason.isClaimGone() {' 'if false {' internal/job TestJobKnownToBeOverIsNotTakenUpAgain
-mutant end_forgotten_with_its_caller internal/job/ending.go \
-	's.startEnd(key, found, endTime, func(ctx context.Context) error {' 's.startEnd(key, found, endTime, func(context.Context) error {' internal/job TestEndOutlivesItsCaller
+mutant job_taken_up_again internal/job/ownedjob.go \
+	'if reason.losesClaim() {' 'if false {' internal/job TestJobKnownToBeOverIsNotTakenUpAgain
+mutant end_forgotten_with_its_caller internal/job/cancel.go \
+	's.startCancellation(key, found, cancelTimeout, func(ctx context.Context) error {' 's.startCancellation(key, found, cancelTimeout, func(context.Context) error {' internal/job TestEndOutlivesItsCaller
 mutant old_claims_believed internal/job/permit.go \
 	'const claimsAgeLimit = 2 * time.Second' 'const claimsAgeLimit = time.Hour' internal/job TestOwnerThatHearsNothingStartsNoItemsAfterTheEnd
 mutant age_noted_before_the_rows internal/table/follower.go \
@@ -133,7 +133,7 @@
 	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
-mutant no_checkpoint internal/job/owned.go \
+mutant no_checkpoint internal/job/ownedjob.go \
 	'begun.progress.restore(earlier.checkpoints[item.ID])' '' internal/job TestNextOwnerGoesOnAtTheCheckpoint
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
@@ -173,7 +173,7 @@
 mutant release_of_earlier_tries internal/job/waiting.go \
 	'if !held.isNew {' 'if !held.isBounded() {' internal/job TestRefusedTryKeepsTheReservationOfAnUnsettledOne
 mutant no_void_condition internal/job/accept.go \
-	', {Table: tableVoid, Key: submitted.ID, Version: held.voided}' '' internal/job 'TestReservationOfADeadDaemonIsSwept|TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun'
+	', {Table: tableVoid, Key: submitted.ID, Version: reserved.voided}' '' internal/job 'TestReservationOfADeadDaemonIsSwept|TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun'
 mutant resent_counts_twice internal/quota/plan.go \
 	'isNew := held.Tokens == 0' 'isNew := true' internal/quota TestReleaseSparesALaterHolder
 mutant no_place internal/serving/exchange.go \
@@ -203,7 +203,7 @@
 	'	s.placer.pause(now.Add(givenWayPause))' '' internal/job 'TestOwnerThatGaveWaySendsNothingForAWhile|TestPauseAfterGivingWayInVirtualTime'
 mutant queues_without_waiting internal/serving/exchange.go \
 	'if e.mustAwaitPlace() {' 'if false {' internal/serving TestRequestWithoutAPlaceQueuesInTheEnd
-mutant late_drop internal/job/owned.go \
+mutant late_drop internal/job/ownedjob.go \
 	'if s.owned[o.job.ID] == o {' 'if true {' internal/job TestLateGoroutineDropsNoNewerOwnership
 mutant no_give_back internal/job/takeover.go \
 	's.giveBack(ctx, id, claimed)' '' internal/job TestJobThatADaemonCannotReadGoesToAnother
@@ -253,16 +253,16 @@
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestPromisesOverRandomAttempts|TestPromiseFollowsWhatWasSent'
 mutant stray_refusal_believed platform/runner.go \
 	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
-mutant pursued_end_promised internal/job/ending.go \
-	'return endUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledEndIsNeverPromisedNotDone
-mutant unsettled_end_promised internal/job/ending.go \
+mutant pursued_end_promised internal/job/cancel.go \
+	'return cancelUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledEndIsNeverPromisedNotDone
+mutant unsettled_end_promised internal/job/cancel.go \
 	'		if isUnsettled {' '		if false {' internal/job TestUnsettledEndOfADaemonThatStopsIsNeverPromisedNotDone
-mutant first_claims_not_awaited internal/job/firstclaims.go \
+mutant first_claims_not_awaited internal/job/initialclaims.go \
 	'if isRead || s.claimsAge()' 'if true || isRead || s.claimsAge()' internal/job TestCallMeetsADaemonThatHasJustStarted
 mutant return_not_asked_for internal/job/held.go \
 	'	case s.availability.Recheck(ctx):' '	case false:' internal/job TestLargeSubmissionBehindAnUnnoticedReturn
 mutant resent_job_refused_blindly internal/job/accept.go \
-	'			refused = outcomeUnknown(err)' '' internal/job TestResentJobIsNotRefusedUnlessItIsKnownToBeNew
+	'			refused = acceptanceUnknown(err)' '' internal/job TestResentJobIsNotRefusedUnlessItIsKnownToBeNew
 mutant spilled_after_an_attempt internal/gateway/completions.go \
 	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestRequestThatMayHaveRunGoesToNoOtherZone
 mutant crash_alone_quarantines internal/quarantine/ledger.go \
@@ -338,26 +338,26 @@
 	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadRequestHasOneAnswer
 mutant file_ids_are_paths internal/gateway/files.go \
 	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
-mutant wanted_end_not_told internal/job/handover.go \
+mutant wanted_end_not_told internal/job/cancelrequest.go \
 	'if !isOpen ||' 'if isOpen ||' internal/job TestOwnerPursuesTheEndThatADaemonTookAndDied
-mutant successor_not_told internal/job/handover.go \
-	'told = s.peers.Successor(key.job)' 'told = ""' internal/job TestEndOutlivesTheOwnerThatTookIt
-mutant unknown_job_not_told internal/job/handover.go \
-	'if !isOpen || told == s.self.Name' 'if told == s.self.Name' internal/job TestEndOfAJobThatIsNotKnownYetOutlivesItsTaker
-mutant next_owner_not_told internal/job/ending.go \
-	'	s.tellOwner(ctx, key)
-	return pause.sleep(ctx)' '	return pause.sleep(ctx)' internal/job TestNextOwnerIsToldOfAWantedEnd
-mutant wanted_end_begins_anew internal/job/handover.go \
-	'min(wanted.Remaining, endTime)' 'endTime' internal/job TestWantedEndLastsNoLongerThanWhereItWasTaken
-mutant early_end_forgotten internal/job/ending.go \
-	'return versionedClaim{}, s.voidForEnd(ctx, key)' 'return versionedClaim{}, err' internal/job TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun
+mutant successor_not_told internal/job/cancelrequest.go \
+	'recipient = s.peers.Successor(key.job)' 'recipient = ""' internal/job TestEndOutlivesTheOwnerThatTookIt
+mutant unknown_job_not_told internal/job/cancelrequest.go \
+	'if !isOpen || recipient == s.self.Name' 'if recipient == s.self.Name' internal/job TestEndOfAJobThatIsNotKnownYetOutlivesItsTaker
+mutant next_owner_not_told internal/job/cancel.go \
+	'	s.notifyOwner(ctx, key)
+	return backoff.sleep(ctx)' '	return backoff.sleep(ctx)' internal/job TestNextOwnerIsToldOfAWantedEnd
+mutant wanted_end_begins_anew internal/job/cancelrequest.go \
+	'min(request.Remaining, cancelTimeout)' 'cancelTimeout' internal/job TestWantedEndLastsNoLongerThanWhereItWasTaken
+mutant early_end_forgotten internal/job/cancel.go \
+	'return versionedClaim{}, s.voidCancelled(ctx, key)' 'return versionedClaim{}, err' internal/job TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun
 mutant early_end_not_refused internal/job/accept.go \
 	'if tries > 1 && ' 'if false && ' internal/job TestSubmissionUnderWayIsRefusedByTheEndOfItsJob
 mutant early_end_refuses_for_ever internal/job/accept.go \
 	'if tries > 1 && ' 'if ' internal/job TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun
-mutant early_end_of_any_tenant internal/job/void.go \
-	'v.IsEnded && mayAccess(tenant, v.Tenant)' 'v.IsEnded' internal/job TestEndOfAnotherTenantVoidsNoAcceptance
-mutant void_once_only internal/job/void.go \
+mutant early_end_of_any_tenant internal/job/voidrow.go \
+	'v.IsCancelled && mayAccess(tenant, v.Tenant)' 'v.IsCancelled' internal/job TestEndOfAnotherTenantVoidsNoAcceptance
+mutant void_once_only internal/job/voidrow.go \
 	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
 	'e.noteSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -57,7 +57,7 @@
 
 replace internal/job/permit.go '	case isDropped:' '	case isDropped && age < 0:'
 replace internal/job/permit.go 'case age > claimsAgeLimit:' 'case age < 0:'
-replace internal/job/permit.go 'case s.endings.isHeld(' 'case age < 0 && s.endings.isHeld('
+replace internal/job/permit.go 'case s.cancellations.isBlocked(' 'case age < 0 && s.cancellations.isBlocked('
 replace internal/job/permit.go 'isOld := age > claimsAgeLimit' 'isOld := age < 0'
 replace internal/job/claims.go 'isLost = held != nil && row.Version > held.claim.version' 'isLost = held == nil && row.Version < 0'
 replace internal/job/claims.go 'case !exists:
@@ -65,7 +65,7 @@
 replace internal/job/claims.go 'isEnded := held != nil && held.claim.version <= version' 'isEnded := held != nil && version < 0'
 soak runs_on_after_its_end
 
-replace internal/job/ending.go 'context.WithTimeout(s.lifetime, endTime)' 'context.WithTimeout(ctx, endTime)'
+replace internal/job/cancel.go 'context.WithTimeout(s.lifetime, endTime)' 'context.WithTimeout(ctx, endTime)'
 soak end_forgotten_with_its_caller
 
 # What reaches a back end is what a caller sent.
