--- a/internal/job/accept.go
+++ b/internal/job/accept.go
@@ -11,15 +11,14 @@
 	"topazpulley/internal/table"
 )
 
-// submitTime bounds how long a submission is tried at a store that answers others:
-// another daemon may reach it.
+// submitTimeout bounds one attempt to accept a job. It leaves the caller time to try
+// another daemon.
 const submitTimeout = 2800 * time.Millisecond
 
-// Submit accepts a job durably. A nil error means that the job is in the
-// system's keeping; a failure marked as not run promises that nothing of it
-// will run because of this call; any other failure promises nothing. The
-// context bounds how long the caller waits; while the store is away, the submission is
-// held for all of that.
+// Submit accepts a job durably. A nil error means that the job is stored and will run.
+// A failure marked as not run guarantees that nothing of the job runs because of this
+// call. After any other failure the outcome is unknown. While the store is unavailable,
+// the submission is buffered until ctx ends.
 func (s *Service) Submit(ctx context.Context, submitted Job) error {
 	for wasTried := false; ; wasTried = true {
 		if known, isOpen := s.openTenant(submitted.ID); isOpen {
@@ -37,8 +36,8 @@
 	}
 }
 
-// submitOnce tries to accept a job. wasUnderWay tells that its submission was tried or
-// held before: an end that came meanwhile ends it.
+// submitOnce tries once to accept a job. wasTried reports that the submission was tried
+// or buffered before: a cancellation that arrived since then applies to it.
 func (s *Service) submitOnce(caller context.Context, submitted Job, wasTried bool) error {
 	ctx, cancel := context.WithTimeout(caller, submitTimeout)
 	defer cancel()
@@ -49,9 +48,9 @@
 	return s.accept(ctx, submitted, reserved, wasTried)
 }
 
-// refuseUnlessAccepted refuses a job for which no tokens could be reserved. It may
-// have been accepted by an earlier call whose answer its caller has not had; while
-// the store does not tell, nothing is promised of a job that does not fit.
+// refuseUnlessAccepted handles a job for which no tokens could be reserved. An earlier
+// call may have accepted the job although its response was lost; then the submission
+// succeeds. If the store cannot be read, the outcome is reported as unknown.
 func (s *Service) refuseUnlessAccepted(ctx context.Context, submitted Job, refused error) error {
 	if failure.Is(refused, failure.KindOverloaded) {
 		accepted, err := s.acceptance(ctx, submitted.ID)
@@ -83,7 +82,7 @@
 		s.logAcceptance(submitted, "refused", err)
 		return err
 	case outcome.voided != 0:
-		// The reservation may have been swept together with the last try.
+		// The sweeper may have released the reservation when it voided the last attempt.
 		reserved.voided = outcome.voided
 		if err := s.reserveAgain(ctx, &submitted, &reserved); err != nil {
 			s.logAcceptance(submitted, "refused", err)
@@ -99,7 +98,7 @@
 	return nil
 }
 
-// isOpen reports whether the job is known to be accepted and not over.
+// isOpen reports whether the job is known to be accepted and not finished.
 func (s *Service) isOpen(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,7 +106,7 @@
 	return isClaimed || s.owned[id] != nil
 }
 
-// openTenant returns whose a job is that is known to be accepted and not over.
+// openTenant returns the tenant of a job that is known to be accepted and not finished.
 func (s *Service) openTenant(id string) (tenant string, isOpen bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,8 +117,8 @@
 	return held.claim.Tenant, isClaimed
 }
 
-// acknowledgeKnown ends the call for a job that was accepted before. Another
-// tenant's job is none that the caller could have sent.
+// acknowledgeExisting completes a submission of a job that was accepted before. If the
+// job belongs to another tenant, it returns a not-found failure.
 func (s *Service) acknowledgeExisting(submitted Job, tenant string) error {
 	if !mayAccess(tenant, submitted.Tenant) {
 		err := notFound(submitted.ID)
@@ -140,15 +139,15 @@
 }
 
 const (
-	// contentRowBytes is the part of a job's content that one row holds.
+	// maxContentRowBytes limits the part of a job's content in one row.
 	maxContentRowBytes = 48 << 10
-	// contentBytes is the largest content that the transaction of the
-	// acceptance carries; a larger one is stored as an object first.
+	// maxContentBytes limits the content in the acceptance transaction. Larger content is
+	// stored as an object first.
 	maxContentBytes = 600 << 10
 )
 
-// acceptanceOf makes the transaction that makes a job exist. The rows of its
-// content are part of it, because one call is faster than two.
+// acceptanceTransaction builds the transaction that creates a job. It includes the
+// content rows, which saves a second call.
 func (s *Service) acceptanceTransaction(ctx context.Context, submitted Job, reserved reservation) (table.Transaction, error) {
 	transaction := table.Transaction{
 		Partition:  shard(submitted.ID),
@@ -189,19 +188,20 @@
 	return transaction, nil
 }
 
-// acceptanceEnd is how the commit of an acceptance ended: it made the job,
-// found that the job exists, or found it voided at a version.
+// acceptanceOutcome is the result of committing an acceptance: the job was created at
+// version, it already exists and belongs to tenant, or a void row of version voided
+// prevents it.
 type acceptanceOutcome struct {
 	isNew   bool
 	version table.Version
 	voided  table.Version
-	// tenant is that of a job which exists already.
-	tenant string
+	tenant  string
 }
 
-// commitAcceptance commits until the store tells how it ended. The job may
-// exist through an earlier try whose answer was lost. A job that was ended while the
-// call tried, or was held, is refused; one that was ended before that is wanted again.
+// commitAcceptance retries the commit until its outcome is known or ctx ends. An
+// earlier attempt whose response was lost may have created the job. A job that was
+// cancelled during the call or while its submission was buffered is refused. A
+// cancellation from before the call does not apply: the caller submits the job anew.
 func (s *Service) commitAcceptance(ctx context.Context, submitted Job, transaction table.Transaction, wasTried bool) (acceptanceOutcome, error) {
 	id, isUnsettled, tries := submitted.ID, false, 1
 	if wasTried {
@@ -220,8 +220,8 @@
 			}
 			return acceptanceOutcome{voided: voided.Version}, nil
 		case errors.As(err, &conflict):
-			// The job exists. If this daemon's own lost try made it, the claim
-			// is found by the follower like that of any other owner.
+			// If a lost attempt of this daemon created the job, the claim follower finds the
+			// claim and this daemon takes the job over.
 			return acceptanceOutcome{tenant: s.tenantOfRow(conflict.Row(tableAccepted, id))}, nil
 		}
 		isUnsettled = isUnsettled || isUnknown(err)
@@ -234,14 +234,14 @@
 	}
 }
 
-// isUnknown reports whether a failed call may have been carried out.
+// isUnknown reports whether a failed store call may have taken effect.
 func isUnknown(err error) bool {
 	var failed *table.Error
 	return errors.As(err, &failed) && failed.Kind == table.ErrorUnknown
 }
 
-// putObject stores an object, trying again until the context ends. Putting the
-// same object twice does no harm.
+// putObject stores an object and retries until ctx ends. Storing the same object twice
+// is harmless.
 func (s *Service) putObject(ctx context.Context, name string, content []byte) error {
 	for {
 		bounded, cancel := context.WithTimeout(ctx, timeoutFor(len(content)))
--- a/internal/job/cancel.go
+++ b/internal/job/cancel.go
@@ -13,115 +13,114 @@
 )
 
 const (
-	// endTime is how long an end is pursued: longer than most outages of the store.
-	// Callers that have had no answer by then have long come again, or never will.
+	// cancelTimeout bounds one cancellation. It is longer than most outages of the store.
 	cancelTimeout = time.Minute
-	// endsAtOnce bounds the ends that are pursued at the same time. A fleet of sixty
-	// daemons ends some jobs a second, and one daemon a few a minute. One more lasts as
-	// long as its caller's call.
+	// maxCancellations limits the cancellations in the background. Beyond it, a
+	// cancellation runs only as long as its caller's call.
 	maxCancellations = 1024
 )
 
-// ending is an end of a job that is being pursued, whoever waits for it. err is set
-// before done is closed.
+// cancellation is a job cancellation in progress. It continues when its callers leave.
+// err is set before done is closed.
 type cancellation struct {
 	done chan struct{}
 	err  error
-	// isHolding tells that the end holds the job's items. endings.mutex guards it.
+	// blocksItems reports whether this cancellation is counted in cancellations.blocked.
+	// cancellations.mutex guards it.
 	blocksItems bool
-	// awaited is closed once a caller waits for the end.
+	// awaited is closed once a caller waits for the cancellation.
 	awaited    chan struct{}
 	callerOnce sync.Once
 }
 
-// noteCaller takes note that a caller waits for the end.
-func (e *cancellation) markAwaited() { e.callerOnce.Do(func() { close(e.awaited) }) }
+// markAwaited records that a caller waits for the cancellation.
+func (c *cancellation) markAwaited() { c.callerOnce.Do(func() { close(c.awaited) }) }
 
-// endingKey names an end: another tenant's end of the same job is another.
+// cancelKey identifies a cancellation. Cancellations of one job by different tenants
+// are separate.
 type cancelKey struct{ job, tenant string }
 
-// endings are the ends that are pursued. It is safe for concurrent use.
+// cancellations holds the cancellations in progress. It is safe for concurrent use.
 type cancellations struct {
-	mutex    sync.Mutex
-	underWay map[cancelKey]*cancellation
-	// held counts, by job, the ends that were found to be allowed: no item of the job
-	// is started here meanwhile.
+	mutex      sync.Mutex
+	inProgress map[cancelKey]*cancellation
+	// blocked counts, by job, the cancellations in progress that the tenant may make.
+	// While the count is positive, this daemon sends no items of the job.
 	blocked map[string]int
 }
 
 func newCancellations() cancellations {
-	return cancellations{underWay: map[cancelKey]*cancellation{}, blocked: map[string]int{}}
+	return cancellations{inProgress: map[cancelKey]*cancellation{}, blocked: map[string]int{}}
 }
 
-// begin returns the end of a job that is under way, or a new one which the caller
-// must pursue. It reports false if no more ends can be pursued.
-func (e *cancellations) begin(key cancelKey) (found *cancellation, isNew, hasCapacity bool) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if found = e.underWay[key]; found != nil {
+// begin returns the cancellation in progress for key, or a new one that the caller must
+// run. hasCapacity is false if the limit of cancellations is reached.
+func (c *cancellations) begin(key cancelKey) (found *cancellation, isNew, hasCapacity bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if found = c.inProgress[key]; found != nil {
 		return found, false, true
 	}
-	if len(e.underWay) >= maxCancellations {
+	if len(c.inProgress) >= maxCancellations {
 		return nil, false, false
 	}
 	found = &cancellation{done: make(chan struct{}), awaited: make(chan struct{})}
-	e.underWay[key] = found
+	c.inProgress[key] = found
 	return found, true, true
 }
 
-// finish tells those who wait how an end ended.
-func (e *cancellations) finish(key cancelKey, finished *cancellation, err error) {
-	e.mutex.Lock()
-	delete(e.underWay, key)
+// finish removes a cancellation and returns its result to the callers that wait.
+func (c *cancellations) finish(key cancelKey, finished *cancellation, err error) {
+	c.mutex.Lock()
+	delete(c.inProgress, key)
 	if finished.blocksItems {
-		e.blocked[key.job]--
-		if e.blocked[key.job] == 0 {
-			delete(e.blocked, key.job)
+		c.blocked[key.job]--
+		if c.blocked[key.job] == 0 {
+			delete(c.blocked, key.job)
 		}
 	}
-	e.mutex.Unlock()
+	c.mutex.Unlock()
 	finished.err = err
 	close(finished.done)
 }
 
-// hold has no item of the job start here until the end has ended.
-func (e *cancellations) blockItems(key cancelKey) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	found := e.underWay[key]
+// blockItems prevents this daemon from sending items of the job until the cancellation
+// finishes.
+func (c *cancellations) blockItems(key cancelKey) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	found := c.inProgress[key]
 	if found == nil || found.blocksItems {
 		return
 	}
 	found.blocksItems = true
-	e.blocked[key.job]++
+	c.blocked[key.job]++
 }
 
-// isHeld reports whether the job is being ended here.
-func (e *cancellations) isBlocked(job string) bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.blocked[job] > 0
+// isBlocked reports whether a permitted cancellation of the job is in progress.
+func (c *cancellations) isBlocked(job string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.blocked[job] > 0
 }
 
-// all returns the ends that are under way.
-func (e *cancellations) all() []*cancellation {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	found := make([]*cancellation, 0, len(e.underWay))
-	for _, each := range e.underWay {
+// all returns the cancellations in progress.
+func (c *cancellations) all() []*cancellation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	found := make([]*cancellation, 0, len(c.inProgress))
+	for _, each := range c.inProgress {
 		found = append(found, each)
 	}
 	return found
 }
 
-// Cancel ends a job: its claim is removed, and nothing more of it is run. Ending a job
-// that has ended is no error.
+// Cancel cancels a job: it removes the job's claim, and the owner stops the job as soon
+// as it learns of the removal. Cancelling a job that is finished or already cancelled
+// succeeds.
 //
-// Once it is asked for, the end is pursued for endTime whether or not the caller
-// waits: a caller that leaves, or has had no answer in time, has ended the job all the
-// same, and its items would run for as long as they wait for room: up to 57 s, over 63
-// daemons with a store that turns nine in ten commits away for 4 s at a time, where ends
-// live as long as their calls. An end that outlives the call is therefore never answered
+// The cancellation runs for up to cancelTimeout even if the caller leaves earlier. If
+// ctx ends first, the returned failure therefore reports the outcome as unknown, never
 // as not done.
 func (t TenantJobs) Cancel(ctx context.Context, id string) error {
 	s, key := t.service, cancelKey{job: id, tenant: t.tenant}
@@ -132,7 +131,7 @@
 	found.markAwaited()
 	if isNew {
 		s.log.Info("job_end_taken", "job", id, "tenant", t.tenant)
-		s.blockIfOpen(key) // before the caller is answered: from then on it has ended the job
+		s.blockIfOpen(key) // before the caller gets a response
 		s.startCancellation(key, found, cancelTimeout, func(ctx context.Context) error {
 			s.notifyOwner(ctx, key)
 			return s.cancelUntilDone(ctx, key)
@@ -146,25 +145,24 @@
 	}
 }
 
-// startEnd pursues a new end for a time, whoever waits for it.
-func (s *Service) startCancellation(key cancelKey, begun *cancellation, duration time.Duration, run func(ctx context.Context) error) {
+// startCancellation runs a new cancellation in the background for at most duration.
+func (s *Service) startCancellation(key cancelKey, started *cancellation, duration time.Duration, run func(ctx context.Context) error) {
 	go func() {
 		bounded, cancel := context.WithTimeout(s.lifetime, duration)
 		defer cancel()
-		s.cancellations.finish(key, begun, run(bounded))
+		s.cancellations.finish(key, started, run(bounded))
 	}()
 }
 
-// holdIfKnown holds the items of a job that is known here to be open and that the
-// tenant may end.
+// blockIfOpen blocks the items of a job that is known to be open and that the tenant
+// may cancel.
 func (s *Service) blockIfOpen(key cancelKey) {
 	if owner, isOpen := s.openTenant(key.job); isOpen && mayAccess(owner, key.tenant) {
 		s.cancellations.blockItems(key)
 	}
 }
 
-// pursueEnd tries to end a job until the store tells how that ended or the context
-// ends.
+// cancelUntilDone tries to cancel a job until the outcome is known or ctx ends.
 func (s *Service) cancelUntilDone(ctx context.Context, key cancelKey) error {
 	started := time.Now()
 	removed, tries, err := s.removeCurrentClaim(ctx, key)
@@ -176,15 +174,15 @@
 	s.mutex.Lock()
 	s.markClaimRemoved(key.job, removed.version)
 	s.mutex.Unlock()
-	s.drop(key.job, dropEnded)
+	s.drop(key.job, dropCancelled)
 	if removed.claim.Owner != "" && removed.claim.Owner != s.self.Name {
 		s.peers.NotifyClaimRemoved(removed.claim.Owner, key.job, removed.version)
 	}
 	return nil
 }
 
-// endOnceKnown reads whose the job is and what claim it has, and removes the claim.
-// It returns that claim, and how often the job was read.
+// removeCurrentClaim checks the tenant, reads the claim from the store and removes it.
+// It returns the removed claim and the number of attempts to read it.
 func (s *Service) removeCurrentClaim(ctx context.Context, key cancelKey) (versionedClaim, int, error) {
 	backoff := newCancelBackoff()
 	for tries := 1; ; tries++ {
@@ -199,7 +197,8 @@
 	}
 }
 
-// claimToEnd returns the claim on a tenant's job, with version 0 if the job has ended.
+// cancellableClaim returns the claim of a tenant's job. Its version is 0 if the job is
+// finished.
 func (s *Service) cancellableClaim(ctx context.Context, key cancelKey) (versionedClaim, error) {
 	err := s.Of(key.tenant).check(ctx, key.job)
 	if failure.HasCode(err, codeNoJob) && !s.isAcceptanceKnown(key.job) {
@@ -212,7 +211,7 @@
 	return s.storedClaim(ctx, key.job)
 }
 
-// storedClaim reads a job's claim from the store; version 0 tells that there is none.
+// storedClaim reads a job's claim from the store. Its version is 0 if there is none.
 func (s *Service) storedClaim(ctx context.Context, id string) (versionedClaim, error) {
 	rows, err := s.read(ctx, table.Range{Table: tableClaim, Partition: shard(id), From: id, Before: id + "\x00", Limit: 1})
 	if err != nil || len(rows) == 0 {
@@ -221,7 +220,7 @@
 	return s.decodeClaim(rows[0]), nil
 }
 
-// claimOf reads a claim's row. One that cannot be read has no owner known.
+// decodeClaim decodes a claim row. If the row cannot be decoded, the owner is empty.
 func (s *Service) decodeClaim(row table.Row) versionedClaim {
 	found := versionedClaim{version: row.Version}
 	if row.Version == 0 {
@@ -233,9 +232,9 @@
 	return found
 }
 
-// removeClaim removes a claim until the store tells that it is gone, and returns the
-// claim that was there last. A try without an answer may take effect later: after one,
-// a failure promises nothing.
+// removeClaim removes a claim and retries until it is known to be removed or ctx ends.
+// It returns the last claim seen. An attempt without a response may take effect later;
+// after one, a failure reports the outcome as unknown.
 func (s *Service) removeClaim(ctx context.Context, key cancelKey, held versionedClaim) (versionedClaim, error) {
 	id, removed := key.job, held
 	isUnsettled := false
@@ -269,31 +268,32 @@
 	return removed, nil
 }
 
-// longestEndPause is the longest pause between two tries of an end. Ends that a store
-// turns away for a minute must not keep it busy: twenty of them made 328 calls a second
-// with a pause of 60 ms.
+// maxCancelPause limits the mean pause between two attempts of a cancellation, so that
+// many cancellations do not overload a failing store.
 const maxCancelPause = time.Second
 
-// endPause is the pause between two tries of an end, which doubles.
+// cancelBackoff is the pause between two attempts of a cancellation. It doubles each
+// time, up to maxCancelPause.
 type cancelBackoff struct{ next time.Duration }
 
 func newCancelBackoff() cancelBackoff { return cancelBackoff{next: retryPause} }
 
-// sleep waits and reports false when the context ends.
+// sleep waits for the pause. It returns false if ctx ends first.
 func (p *cancelBackoff) sleep(ctx context.Context) bool {
 	pause := p.next
 	p.next = min(2*pause, maxCancelPause)
 	return periodic.SleepAbout(ctx, pause)
 }
 
-// pauseEnd lets the owner of a job know that an end was turned away, and waits for the
-// next try. It reports false when the context ends.
+// backOff notifies the job's owner after a failed attempt and waits before the next
+// one. It returns false if ctx ends first.
 func (s *Service) backOff(ctx context.Context, key cancelKey, backoff *cancelBackoff) bool {
 	s.notifyOwner(ctx, key)
 	return backoff.sleep(ctx)
 }
 
-// AwaitCancellations waits until the ends that are under way have ended, or the context ends.
+// AwaitCancellations waits until the cancellations in progress have finished or ctx
+// ends.
 func (s *Service) AwaitCancellations(ctx context.Context) {
 	for _, each := range s.cancellations.all() {
 		select {
--- a/internal/job/cancelrequest.go
+++ b/internal/job/cancelrequest.go
@@ -5,28 +5,26 @@
 	"time"
 )
 
-// handoverPause is how long the owner of a job that is told of a wanted end leaves the
-// store to the daemon which took it. Nothing is lost by it, because the job's items are
-// held meanwhile. Within it an end that the store takes at once is known to the owner:
-// by the word of who removed the claim after some milliseconds, and by the followed
-// claims after 0.73 s at most, over 63 daemons. So an end costs no further call to the
-// store in calm: 20 ends over three daemons made 60 calls, and 103 to 107 without a pause.
+// cancelRequestDelay is how long the daemon that receives a cancel request leaves the
+// cancellation to the sender. Usually the sender succeeds within that time, and no
+// second call to the store is needed. The job's items are blocked meanwhile.
 const cancelRequestDelay = time.Second
 
-// CancelRequest is an end of a job that another daemon has taken and pursues.
+// CancelRequest asks a daemon to also run a cancellation that another daemon is
+// running.
 type CancelRequest struct {
 	Job    string
 	Tenant string
-	// Remaining is for how much longer the end is pursued by whoever took it. An end
-	// that is told on lasts no longer than that, however often it is told.
+	// Remaining is the time left for the cancellation. Forwarding the request does not
+	// extend it.
 	Remaining time.Duration
 }
 
-// tellOwner tells the owner of a job that its end is wanted, if the tenant may end the
-// job. The owner itself tells the daemon that would take the job over, and so does one that
-// does not know the job: it may have been accepted milliseconds ago, and be known there. It
-// is asked at each try that the store turned away: the owner may not have been reached, or
-// another one may have taken the job over.
+// notifyOwner sends a cancel request to the job's owner if the tenant may cancel the
+// job. If this daemon is the owner or does not know the job, it sends the request to
+// the successor: the daemon that would take over, or that may know a job accepted just
+// now. It is called again after each failed attempt, because the owner may have been
+// unreachable or may have changed.
 func (s *Service) notifyOwner(ctx context.Context, key cancelKey) {
 	held, isOpen := s.openClaim(key.job)
 	if isOpen && !mayAccess(held.Tenant, key.tenant) {
@@ -46,8 +44,8 @@
 	s.peers.NotifyCancelRequest(recipient, CancelRequest{Job: key.job, Tenant: key.tenant, Remaining: remaining})
 }
 
-// openClaim returns the claim on a job that is known to be accepted and not over: its own,
-// which the copy may not have yet, or that of the copy.
+// openClaim returns the claim of a job that is known to be open. For a job that this
+// daemon owns, the followed copy of the claims may not contain the claim yet.
 func (s *Service) openClaim(id string) (held claim, isOpen bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,10 +56,10 @@
 	return found.claim, isClaimed
 }
 
-// HandleCancelRequest takes an end that another daemon has taken: it holds the job's items
-// and is pursued here too. An end that lives in one daemon's memory alone is lost if that
-// daemon is killed while the store turns it away, and the job would run on: 100 of 100
-// items that waited for room were sent then.
+// HandleCancelRequest handles a cancel request from another daemon. It blocks the job's
+// items and runs the cancellation here too if the job is still open after
+// cancelRequestDelay or a caller waits for it. This way the cancellation is not lost if
+// the sender fails.
 func (s *Service) HandleCancelRequest(request CancelRequest) {
 	key := cancelKey{job: request.Job, tenant: request.Tenant}
 	if request.Remaining <= 0 {
@@ -86,25 +84,28 @@
 		if wasOpen {
 			return nil
 		}
-		// Told late, of a job that has ended: 20 ends cost 2 and 16 further reads otherwise.
+		// The request may be a late one for a finished job. Reading the store for it is not
+		// worth the load.
 		return cancelUnknown(&notOpenError{job: key.job})
 	})
 }
 
-// notOpenHereError tells that an end was wanted of a job that is not known here to be
-// open, which says nothing of the job.
+// notOpenError reports that a job to cancel is not known to be open on this daemon. The
+// job may be open elsewhere.
 type notOpenError struct{ job string }
 
 // Error implements error.
-func (e *notOpenError) Error() string { return "job " + e.job + " is not known here to be open" }
+func (e *notOpenError) Error() string {
+	return "job " + e.job + " is not known to be open on this daemon"
+}
 
-// awaitCaller waits for the pause, and no longer once a caller waits for the end, which
-// it reports.
-func (e *cancellation) awaitCaller(ctx context.Context, pause time.Duration) bool {
+// awaitCaller waits for the pause. It returns true as soon as a caller waits for the
+// cancellation.
+func (c *cancellation) awaitCaller(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-e.awaited:
+	case <-c.awaited:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
--- a/internal/job/claims.go
+++ b/internal/job/claims.go
@@ -7,75 +7,75 @@
 )
 
 const (
-	// orphanPause is how long the owner of a job must be gone before the first
-	// daemon in rank takes the job over; each further rank waits rankPause
-	// more, in case those before it cannot.
+	// takeoverDelay is how long a job's owner must be gone before the first daemon in rank
+	// takes over. Each further rank waits takeoverDelayPerRank longer, in case the daemons
+	// before it cannot take over.
 	takeoverDelay        = 300 * time.Millisecond
 	takeoverDelayPerRank = 1500 * time.Millisecond
-	// unknownPause is the wait for owners that this daemon never met, because
-	// it may have started just now.
+	// unknownOwnerDelay is added for owners that this daemon has never seen, because it
+	// may have just started.
 	unknownOwnerDelay = 2 * time.Second
-	// freshClaim is how long a claim's change counts as a sign of its owner's
-	// life. Without it two daemons that cannot hear each other would take a job
-	// from each other without end.
+	// recentChangeTime is how long a change of a claim indicates that its owner is alive.
+	// It prevents two daemons that cannot reach each other from taking a job from each
+	// other repeatedly.
 	recentChangeTime = 3 * time.Second
 )
 
-// Liveness is what is known of another daemon's life.
+// Liveness is the known state of another daemon.
 type Liveness uint8
 
 // The states of liveness.
 const (
 	LivenessUnknown Liveness = iota
 	LivenessAlive
-	// LivenessSuspected tells that the daemon has not been heard of.
+	// LivenessSuspected means that nothing was received from the daemon recently.
 	LivenessSuspected
-	// LivenessGone tells that the daemon left or lives in a later incarnation.
+	// LivenessGone means that the daemon left or restarted with a later incarnation.
 	LivenessGone
 )
 
-// noteClaimGone holds against the copy of the claims that is followed what was learnt
-// by another call: that a job's claim of this version is gone. The copy may lie behind,
-// and a claim in it that names this daemon would be taken for one whose answer was
-// lost: the job would be taken up, and its items sent, again and again until the copy
-// has come up. On a day of 63 daemons, which follow the store through others, 92 of
-// 153 jobs that were over were taken up again. mutex must be held.
+// markClaimRemoved records that a job's claim of this version was removed, as another
+// call reported. The followed copy of the claims may still contain the claim. Without
+// the record, a stale claim that names this daemon would look like the result of a lost
+// commit, and the finished job would be started again. mutex must be held.
 func (s *Service) markClaimRemoved(id string, version table.Version) {
-	isInCopy := s.followed >= version && s.claims[id].version != version
-	if version == 0 || isInCopy {
+	isCopyCurrent := s.followed >= version && s.claims[id].version != version
+	if version == 0 || isCopyCurrent {
 		return
 	}
 	s.removed[id] = max(s.removed[id], version)
 	s.forgetClaim(id)
 }
 
-// HandleClaimRemoved takes note that a claim was removed, as the daemon tells that removed it:
-// sooner than the copy of the claims does, which is up to 1.5 s behind.
+// HandleClaimRemoved handles the notification of another daemon that it removed a
+// claim. The notification usually arrives before the followed copy of the claims shows
+// the removal.
 func (s *Service) HandleClaimRemoved(id string, version table.Version) {
 	s.mutex.Lock()
 	s.markClaimRemoved(id, version)
-	held := s.owned[id]
-	isEnded := held != nil && held.claim.version <= version
+	owned := s.owned[id]
+	isEnded := owned != nil && owned.claim.version <= version
 	s.mutex.Unlock()
 	if isEnded {
-		held.drop(dropReportedEnded)
+		owned.drop(dropReportedCancelled)
 	}
 }
 
-// isGone reports whether a claim is known to be gone. mutex must be held.
+// isKnownRemoved reports whether the claim of this version is known to be removed.
+// mutex must be held.
 func (s *Service) isKnownRemoved(id string, version table.Version) bool {
 	return version <= s.removed[id]
 }
 
-// forgetClaim drops what is known of a job's claim. mutex must be held.
+// forgetClaim deletes the state of a job's claim. mutex must be held.
 func (s *Service) forgetClaim(id string) {
 	delete(s.claims, id)
 	delete(s.orphans, id)
 	delete(s.claimedAt, id)
 }
 
-// forgetGone drops what was known ahead of the copy once the copy, which is as of a
-// version, has come up. mutex must be held.
+// forgetRemoved deletes the records of removed claims that the followed copy, at this
+// version, no longer contains. mutex must be held.
 func (s *Service) forgetRemoved(listed map[string]versionedClaim, version table.Version) {
 	for id, known := range s.removed {
 		if _, isListed := listed[id]; !isListed && version > known {
@@ -126,8 +126,8 @@
 
 // Change implements table.Consumer for the table of claims.
 func (s *Service) Change(rows []table.Row, version table.Version) {
-	// In one step with the version: own asks both whether a claim that was removed is
-	// known to be, and would own the job between the two.
+	// The claims and the followed version change under one lock. Otherwise startJob could
+	// check between the two and start a job whose claim was removed.
 	lost := map[string]dropReason{}
 	s.mutex.Lock()
 	for _, row := range rows {
@@ -142,11 +142,11 @@
 	}
 }
 
-// changeClaim takes over one changed claim, and reports whether the job is thereby
-// known not to be run here any more. mutex must be held.
+// applyClaimChange applies one changed claim row. It reports whether this daemon
+// thereby loses a job that it owns, and why. mutex must be held.
 func (s *Service) applyClaimChange(row table.Row) (reason dropReason, isLost bool) {
-	held := s.owned[row.Key]
-	isLost = held != nil && row.Version > held.claim.version
+	owned := s.owned[row.Key]
+	isLost = owned != nil && row.Version > owned.claim.version
 	if s.isKnownRemoved(row.Key, row.Version) {
 		return "", false
 	}
@@ -165,13 +165,13 @@
 	return dropClaimLost, isLost
 }
 
-// noteClaimChange starts the wait for a job's owner anew. mutex must be held.
+// recordClaimChange restarts the takeover delay of a job. mutex must be held.
 func (s *Service) recordClaimChange(id string) {
 	delete(s.orphans, id)
 	s.claimedAt[id] = time.Now()
 }
 
-// orphaned returns the claims that this daemon should take over now.
+// dueOrphans returns the claims that this daemon should take over now.
 func (s *Service) dueOrphans(now time.Time) map[string]versionedClaim {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -190,11 +190,12 @@
 	return due
 }
 
-// isDueForTakeover notes how long the owner has been gone. mutex must be held.
+// isDueForTakeover reports whether this daemon should take over the job now. It records
+// when the owner was first found missing. mutex must be held.
 func (s *Service) isDueForTakeover(id string, held claim, now time.Time) bool {
 	isOwn := held.Owner == s.self.Name && held.Incarnation == s.self.Incarnation
 	if isOwn {
-		return true // made by this daemon's own commit whose answer was lost
+		return true // committed by this daemon, but the response was lost
 	}
 	liveness := LivenessGone
 	if held.Owner != "" {
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -12,8 +12,8 @@
 	"topazpulley/internal/serving"
 )
 
-// jobSchema is how a job's content lies in the store. Fields are only ever
-// added, with a default.
+// jobSchema is the stored form of a job's content. Fields may only be added, each with
+// a default.
 var jobSchema = avrocodec.MustParse(`{"type":"record","name":"job","fields":[
 	{"name":"id","type":"string"},{"name":"host","type":"string"},{"name":"submitted_ms","type":"long"},
 	{"name":"due_ms","type":"long"},{"name":"give_up_ms","type":"long"},
@@ -25,6 +25,8 @@
 			{"name":"id","type":"string"},{"name":"tokens","type":"long"}]}}}]}}},
 	{"name":"tenant","type":"string","default":""}]}`)
 
+// jobRecord and the records below it are the Go forms of jobSchema. Tokens and prompt
+// sizes are in tokens, times in milliseconds.
 type jobRecord struct {
 	ID          string       `avro:"id"`
 	Host        string       `avro:"host"`
--- a/internal/job/commit.go
+++ b/internal/job/commit.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// commitDelay gathers results that end close together in one commit.
+	// commitDelay is the mean wait before a commit, so that results that arrive close
+	// together share it.
 	commitDelay = 60 * time.Millisecond
-	// commitResults bounds the results of one commit. The store takes 100 rows
-	// in a transaction, and each result names up to three.
+	// maxCommitResults limits the results in one commit. A transaction takes at most 100
+	// rows, and each result uses up to three.
 	maxCommitResults = 25
-	// commitBytes is the most text of one commit: a third of a second of the
-	// slowest links of 30 Mbit/s, in the store's encoding. leastCommitBytes is
-	// what one commit carries however often the store did not answer in time.
+	// maxCommitBytes limits the result text in one commit. The limit is halved after
+	// commits that time out, down to minCommitBytes, and doubled after each success.
 	maxCommitBytes = 512 << 10
 	minCommitBytes = 16 << 10
-	// inlineBytes is the longest text that a row holds.
+	// maxInlineBytes is the longest text that is stored in the result row. Longer texts
+	// are stored as objects.
 	maxInlineBytes = 40 << 10
 )
 
-// commitFinished commits results until none is left.
+// commitFinished commits results until none is left or the job is dropped.
 func (o *ownedJob) commitFinished() {
 	for periodic.SleepAbout(o.ctx, commitDelay) {
 		batch, position, isLast := o.nextBatch()
@@ -53,8 +54,8 @@
 	}
 }
 
-// noteUncommitted makes the next commit smaller when the store did not answer
-// in time: the link may carry no more.
+// handleCommitFailure logs a failed commit. If the store did not respond in time, it
+// halves the maximum size of the next commit, because the link may be slow.
 func (o *ownedJob) handleCommitFailure(count int, err error) {
 	if isUnknown(err) {
 		o.mutex.Lock()
@@ -64,8 +65,8 @@
 	o.service.log.Info("job_results_not_committed", "job", o.job.ID, "count", count, "error", err)
 }
 
-// takeFinished returns the next results to commit and the position of the
-// first. When there are none, committing ends.
+// nextBatch returns the next results to commit and the position of the first one. If
+// there are none, it marks the committing goroutine as ended.
 func (o *ownedJob) nextBatch() (batch []Result, position int, isLast bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -83,7 +84,7 @@
 	return batch, o.committed, o.committed+len(batch) == len(o.items)
 }
 
-// advance notes that the first results were committed.
+// markCommitted removes the first count results from the queue after their commit.
 func (o *ownedJob) markCommitted(count int) {
 	o.mutex.Lock()
 	o.finished = o.finished[count:]
@@ -95,11 +96,12 @@
 	o.service.log.Info("job_results_committed", "job", o.job.ID, "count", count, "listed", committed, "items", len(o.items))
 }
 
-// claimLostError tells that another owner or the job's end came between, or that
-// results are listed which this owner does not know of although it holds the claim.
+// claimLostError reports that a commit failed because the claim changed or was removed,
+// or because other results are stored at these positions although the claim is still
+// held.
 type claimLostError struct {
 	job string
-	// isHeld tells that the claim is held all the same.
+	// ownsClaim reports that the claim is still held.
 	ownsClaim bool
 }
 
@@ -114,8 +116,8 @@
 // Error implements error.
 func (e *claimLostError) Error() string { return "the claim on job " + e.job + " is lost" }
 
-// commitBatch tries once to commit results at fixed positions. An earlier try
-// whose answer was lost may have committed them, or more behind them.
+// commitBatch tries once to commit results at fixed positions. An earlier attempt whose
+// response was lost may have committed them and further results after them.
 func (o *ownedJob) commitBatch(ctx context.Context, batch []Result, position int, isLast bool) error {
 	transaction, err := o.resultTransaction(ctx, batch, position, isLast)
 	if err != nil {
@@ -129,9 +131,9 @@
 	return err
 }
 
-// settle tells an earlier try of the same commit, whose answer was lost, from
-// a lost claim. The claim is gone when the earlier try reached to the last
-// result.
+// resolveConflict distinguishes an earlier successful attempt of the same commit from a
+// lost claim. It returns nil if all rows are stored as written and the claim is
+// unchanged or removed. The claim is removed together with the last result.
 func (o *ownedJob) resolveConflict(conflict *table.ConflictError, transaction table.Transaction) error {
 	held := conflict.Row(tableClaim, o.job.ID).Version
 	for _, write := range transaction.Writes {
@@ -168,7 +170,8 @@
 	return transaction, nil
 }
 
-// encodeResult makes a result's row; a long text is stored as an object first.
+// encodeResult encodes a result's row. A text longer than maxInlineBytes is stored as
+// an object first.
 func (o *ownedJob) encodeResult(ctx context.Context, result Result) ([]byte, error) {
 	row := resultRow{Item: result.Item, State: result.State, Text: result.Text}
 	if len(result.Text) > maxInlineBytes {
@@ -182,12 +185,12 @@
 	return encode(row)
 }
 
-// releasePoll is the pause between two looks at results that wait for their
-// commit.
+// releasePoll is the mean interval at which release checks for items that still run and
+// results that are not committed.
 const releasePoll = 20 * time.Millisecond
 
-// release stops the items, keeps their progress in the store and gives the
-// claim up, so that another daemon goes on at once where this one stopped.
+// release stops the items, saves their progress and gives up the claim, so that another
+// daemon continues from there immediately.
 func (o *ownedJob) release(ctx context.Context) {
 	o.stopItems()
 	for o.isBusy() && periodic.SleepAbout(ctx, releasePoll) {
@@ -205,7 +208,7 @@
 	o.service.log.Info("job_released", "job", o.job.ID, "error", err)
 }
 
-// stopItems takes all running items back.
+// stopItems cancels all running items.
 func (o *ownedJob) stopItems() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -216,7 +219,7 @@
 	}
 }
 
-// isBusy reports whether items run or results wait for their commit.
+// isBusy reports whether items are running or results are not committed yet.
 func (o *ownedJob) isBusy() bool {
 	if len(o.running()) > 0 {
 		return true
--- a/internal/job/initialclaims.go
+++ b/internal/job/initialclaims.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// firstClaimsPatience is how long a call about a job waits in a daemon that has not
-	// read the claims since its start. They come within milliseconds; a store that is
-	// away is no reason to keep callers waiting.
+	// initialClaimsTimeout bounds how long a call waits for the first read of the claims
+	// after the daemon started.
 	initialClaimsTimeout = 500 * time.Millisecond
-	// firstClaimsPoll is the pause between two looks meanwhile.
+	// initialClaimsPoll is the interval at which a waiting call checks for the claims.
 	initialClaimsPoll = 5 * time.Millisecond
 )
 
-// awaitFirstClaims waits until the claims were read for the first time since the start,
-// and reports whether that came while it waited: what was asked of the store before may
-// be asked again.
+// awaitInitialClaims waits for the first read of the claims after the start. It returns
+// true if the claims arrived during the wait; the caller may then repeat a read of the
+// store that came before.
 func (s *Service) awaitInitialClaims(ctx context.Context) bool {
 	s.mutex.Lock()
 	isRead := s.followed > 0
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,14 +1,17 @@
-// Package job keeps batch jobs: a job is accepted once, durably; one daemon at
-// a time runs its items; results take fixed positions; and any daemon answers
-// questions about any job from the store.
+// Package job stores and runs batch jobs. A job is accepted once and durably. One
+// daemon at a time, the owner, runs its items. Results are stored at fixed positions,
+// and any daemon answers calls about any job from the store.
 //
-// Invariants, all of which rest on conditional commits alone:
-//   - A job exists from the commit that writes its acceptance row, which is
-//     insert-if-absent. A resent job finds the row.
+// Create a Service with NewService and start it with Run. Callers reach the jobs of a
+// tenant through Service.Of.
+//
+// The package relies on conditional commits of the store for these invariants:
+//   - A job exists once its acceptance row is committed. The row is inserted only
+//     if absent, so a job that is submitted again is not created twice.
 //   - The claim row of an open job names its owner. Every commit of results is
-//     conditional on the version of the claim row, so that an owner that lost
-//     its claim commits nothing more. Ending a job removes the row.
-//   - A result row is insert-if-absent at its position and never changes.
+//     conditional on the version of the claim row, so an owner that lost its
+//     claim cannot commit. Finishing or cancelling a job removes the row.
+//   - A result row is inserted only if absent and never changes.
 package job
 
 import (
@@ -27,7 +30,8 @@
 	"topazpulley/internal/table"
 )
 
-// ClaimTable is the table whose changes a Service must be told.
+// ClaimTable is the table of claims. A Service must receive its changes as a
+// table.Consumer.
 const ClaimTable = "open_job"
 
 // Tables of the store.
@@ -36,13 +40,13 @@
 	tableContent  = "job_content"
 	tableClaim    = ClaimTable
 	tableResult   = "result"
-	// tableVoid holds jobs whose acceptance was given up while its outcome was
-	// unknown; one that is carried out late fails on the row.
+	// tableVoid holds a row for each job whose pending acceptances must fail. An
+	// acceptance that commits later fails because of the row.
 	tableVoid = "void_job"
 )
 
-// shardCount is the number of partitions that jobs are spread over. It must
-// never change while jobs exist.
+// shardCount is the number of store partitions that hold jobs. It must not change while
+// jobs exist.
 const shardCount = 16
 
 // shard returns the partition of a job's rows.
@@ -52,16 +56,16 @@
 type Item struct {
 	ID   string
 	Path string
-	// Fields are passed to the backend.
+	// Fields are the header fields that are forwarded to the backend.
 	Fields []serving.Field
 	Body   []byte
-	// Prompt is the parts of the item's prompt in order.
+	// Prompt lists the parts of the prompt in order.
 	Prompt []routing.PromptPart
-	// Tokens is the size of the prompt and the longest output together.
+	// Tokens is the size of the prompt plus the maximum output.
 	Tokens int
 }
 
-// Check reports an item whose words cannot be sent as one request. An error is a
+// Check returns an error if the item cannot be sent as one HTTP request. The error is a
 // *httphead.Fault.
 func (i *Item) Check() error {
 	if err := httphead.CheckTarget(i.Path); err != nil {
@@ -78,25 +82,28 @@
 	return nil
 }
 
-// idField stands for the field that carries an item's id to a backend.
+// idField names the item's id in errors of Check.
 const idField = "id"
 
 // Job is an accepted job.
 type Job struct {
 	ID string
-	// Host is the host name under which the job was submitted.
+	// Host is the host name that the job was submitted to.
 	Host string
-	// Tenant is the name of the tenant that submitted the job; empty means that
-	// anybody may read and end it.
+	// Tenant is the name of the tenant that submitted the job. If it is empty, any caller
+	// may read and cancel the job.
 	Tenant string
-	// SubmittedAt is by the time of day of the daemon that accepted the job.
+	// SubmittedAt is the wall-clock time of the daemon that accepted the job.
 	SubmittedAt time.Time
-	Due         time.Duration
+	// Due is the time from SubmittedAt by which the job should be finished.
+	Due time.Duration
+	// GiveUpAfter is the time from SubmittedAt after which items that are still queued are
+	// abandoned. Zero means never.
 	GiveUpAfter time.Duration
 	Items       []Item
 }
 
-// tokens is the size of all items.
+// tokens returns the total size of the items in tokens.
 func (j *Job) tokens() int64 {
 	total := int64(0)
 	for _, item := range j.Items {
@@ -105,7 +112,7 @@
 	return total
 }
 
-// State says how an item ended.
+// State is the final state of an item.
 type State string
 
 // The states of a result.
@@ -114,7 +121,7 @@
 	StateAbandoned State = "abandoned"
 )
 
-// Result is the end of one item.
+// Result is the result of one item.
 type Result struct {
 	Item  string
 	State State
@@ -122,34 +129,32 @@
 	Text string
 }
 
-// Page is a part of a job's results.
+// Page is a consecutive part of a job's results.
 type Page struct {
 	// Total is the number of the job's items.
 	Total   int
 	Results []Result
 }
 
-// acceptance is the row that makes a job exist. It never changes. The job's
-// content lies in rows beside it, or in an object if it is large.
+// acceptance is the row that makes a job exist. It never changes. The job's content is
+// in rows of tableContent or, if it is large, in an object.
 type acceptance struct {
 	Total  int    `json:"total"`
 	Object string `json:"object,omitempty"`
-	// Tenant is that of the job.
 	Tenant string `json:"tenant,omitempty"`
 }
 
 // claim is the row that names the owner of an open job.
 type claim struct {
 	Owner string `json:"owner"`
-	// Incarnation tells the owner's lives apart.
+	// Incarnation identifies one run of the owner process.
 	Incarnation int64 `json:"incarnation"`
-	// Epoch counts the owners.
-	Epoch int64 `json:"epoch"`
-	// Tenant is that of the job.
+	// Epoch increases by one with each new owner.
+	Epoch  int64  `json:"epoch"`
 	Tenant string `json:"tenant,omitempty"`
 }
 
-// resultRow is a result in the store. A long text lies in an object.
+// resultRow is a stored result. A long text is stored as the object named by Object.
 type resultRow struct {
 	Item   string `json:"item"`
 	State  State  `json:"state"`
@@ -157,16 +162,18 @@
 	Object string `json:"object,omitempty"`
 }
 
-// positionDigits keeps the rows of a job in the order of their positions.
+// positionDigits is the number of digits of a row number in a key. Padding keeps the
+// rows in numerical order.
 const positionDigits = 6
 
-// numberedKey is the key of one of several rows of a job: a result by its
+// numberedKey returns the key of one of several rows of a job: a result by its
 // position, or a part of the content.
 func numberedKey(id string, number int) string {
 	return fmt.Sprintf("%s/%0*d", id, positionDigits, number)
 }
 
-// numberedEnd is the key behind all numbered rows of a job.
+// numberedEnd returns a key that sorts after all numbered rows of a job: the character
+// 0 follows / in the order of keys.
 func numberedEnd(id string) string { return id + "0" }
 
 func encode(value any) ([]byte, error) {
@@ -181,24 +188,32 @@
 	return nil
 }
 
-// codeNoJob tells that there is no such job, or none of the caller's.
+// codeNoJob is the error code if a job does not exist or belongs to another tenant.
 const codeNoJob = "no_job"
 
-// Failures of calls about jobs.
+// notFound returns the failure for a job that does not exist or belongs to another
+// tenant.
 func notFound(id string) error {
 	return failure.New(failure.KindNotFound, codeNoJob, "there is no job %s", id)
 }
 
+// unavailable returns the failure for a call that had no effect because the store did
+// not answer.
 func unavailable(cause error) error {
 	return failure.Wrap(cause, failure.KindUnavailable, "store_unavailable", "the store does not answer").WithNotRun().WithRetryAfter(retryAfterStore)
 }
 
+// acceptanceUnknown returns the failure for a submission that may have taken effect.
 func acceptanceUnknown(cause error) error {
-	return failure.Wrap(cause, failure.KindOutcomeUnknown, "acceptance_unknown", "the store did not tell whether the job was accepted: send it again")
+	return failure.Wrap(cause, failure.KindOutcomeUnknown, "acceptance_unknown", "the store did not confirm whether the job was accepted: send it again")
 }
 
+// cancelUnknown returns the failure for a cancellation that may have taken effect or
+// may still do so.
 func cancelUnknown(cause error) error {
-	return failure.Wrap(cause, failure.KindOutcomeUnknown, "end_unknown", "the store did not tell whether the job was ended: end it again")
+	return failure.Wrap(cause, failure.KindOutcomeUnknown, "end_unknown", "the store did not confirm whether the job was cancelled: cancel it again")
 }
 
+// retryAfterStore is the retry delay that callers are advised of after failures of the
+// store.
 const retryAfterStore = 500 * time.Millisecond
--- a/internal/job/ownedjob.go
+++ b/internal/job/ownedjob.go
@@ -9,7 +9,7 @@
 	"topazpulley/internal/table"
 )
 
-// itemState is where an item stands.
+// itemState is the state of an item at its owner.
 type itemState uint8
 
 const (
@@ -18,40 +18,45 @@
 	itemFinished
 )
 
-// work is one item of an owned job. owned.mutex guards it, but for progress.
+// ownedItem is one item of an owned job. ownedJob.mutex guards all fields except
+// progress, which has its own lock.
 type ownedItem struct {
 	item  Item
 	owner *ownedJob
-	// fingerprint identifies the item's content whatever its id.
+	// fingerprint identifies the item's content independently of its id.
 	fingerprint quarantine.Fingerprint
 	state       itemState
-	notBefore   time.Time
-	backend     string
-	startedAt   time.Time
-	// ranFor is how long earlier attempts ran.
+	// notBefore is the earliest time at which a queued item may be sent.
+	notBefore time.Time
+	// backend and startedAt describe the current run.
+	backend   string
+	startedAt time.Time
+	// ranFor is the total run time of earlier attempts.
 	ranFor time.Duration
-	// sends counts the attempts that this owner has let leave.
+	// sends counts the attempts that this owner permitted to be sent.
 	sends  int
 	cancel context.CancelFunc
-	// isYielding tells that the present run was taken back and is about to end.
+	// isPreempted reports that the current run was cancelled by preempt and has not ended
+	// yet.
 	isPreempted bool
 	progress    progress
-	// malformed tells why the item can never be sent: jobs that were accepted by
-	// versions which did not check their items may hold such.
+	// malformed is the reason why the item can never be sent, or nil. Older versions
+	// accepted jobs without checking their items.
 	malformed error
-	// isQuarantined tells that the item was found quarantined, which is logged once.
+	// isQuarantined reports that the item was found quarantined. It limits the log to one
+	// message.
 	isQuarantined bool
 }
 
-// yield takes a running item back.
-func (w *ownedItem) preempt() {
-	w.owner.mutex.Lock()
-	w.isPreempted = true
-	w.owner.mutex.Unlock()
-	w.cancel()
+// preempt cancels a running item so that it is queued again.
+func (i *ownedItem) preempt() {
+	i.owner.mutex.Lock()
+	i.isPreempted = true
+	i.owner.mutex.Unlock()
+	i.cancel()
 }
 
-// owned is a job that this daemon runs. mutex guards the fields below it.
+// ownedJob is a job that this daemon runs. mutex guards the fields after it.
 type ownedJob struct {
 	service *Service
 	job     Job
@@ -60,34 +65,41 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	mutex      sync.Mutex
-	claim      versionedClaim
-	items      []*ownedItem
-	committed  int
-	finished   []Result
+	mutex sync.Mutex
+	claim versionedClaim
+	items []*ownedItem
+	// committed is the number of stored results.
+	committed int
+	// finished are the results that are not committed yet.
+	finished []Result
+	// committing reports that commitFinished is running.
 	committing bool
-	// commitLimit is the most text of the next commit, in bytes.
-	commitLimit     int
-	dropped         bool
+	// commitLimit is the maximum text of the next commit in bytes.
+	commitLimit int
+	dropped     bool
+	// committedSignal is closed and replaced at each commit.
 	committedSignal chan struct{}
-	// settled is what the job's account was last told of it.
+	// settled is the settlement that the job's quota account last received.
 	settled settlement
 }
 
-// giveUpMargin keeps clear of daemons' differing clocks.
+// giveUpMargin is added to a job's give-up time to allow for clock differences between
+// daemons.
 const giveUpMargin = 4 * time.Second
 
-// history is what earlier owners left of a job.
+// history is the stored state of a job that earlier owners left.
 type history struct {
-	// listed are the results that exist.
+	// listed are the stored results, in the order of their positions.
 	listed []Result
-	// checkpoints are the progress of items without a result, by item.
+	// checkpoints are the saved progress of items without a result, by item id.
 	checkpoints map[string]checkpoint
-	// settled is what the job's account holds; its zero value means unknown.
+	// settled is the settlement that the job's quota account last received. The zero
+	// value means unknown.
 	settled settlement
 }
 
-// own starts running a job under a claim.
+// startJob starts running a job under a claim, unless the service stops, already runs
+// the job, or the claim is known to be replaced or removed.
 func (s *Service) startJob(accepted Job, held versionedClaim, earlier history) {
 	ctx, cancel := context.WithCancel(s.lifetime)
 	started := &ownedJob{
@@ -110,10 +122,10 @@
 		if done[item.ID] {
 			state = itemFinished
 		}
-		begun := &ownedItem{item: item, owner: started, state: state, malformed: item.Check()}
-		begun.fingerprint = quarantine.FingerprintOf(itemMethod, item.Path, accepted.Tenant, item.Body)
-		begun.progress.restore(earlier.checkpoints[item.ID])
-		started.items = append(started.items, begun)
+		added := &ownedItem{item: item, owner: started, state: state, malformed: item.Check()}
+		added.fingerprint = quarantine.FingerprintOf(itemMethod, item.Path, accepted.Tenant, item.Body)
+		added.progress.restore(earlier.checkpoints[item.ID])
+		started.items = append(started.items, added)
 	}
 	s.mutex.Lock()
 	if s.stopping || s.owned[accepted.ID] != nil || s.isSuperseded(accepted.ID, held.version) || s.isKnownRemoved(accepted.ID, held.version) {
@@ -128,49 +140,50 @@
 	s.nudge()
 }
 
-// isSuperseded reports whether a claim was changed or removed since it was
-// committed, as far as the follower has come. mutex must be held.
+// isSuperseded reports whether the followed copy of the claims includes this version
+// and shows that the claim was changed or removed since. mutex must be held.
 func (s *Service) isSuperseded(id string, version table.Version) bool {
 	return s.followed >= version && s.claims[id].version != version
 }
 
-// dropReason tells why a job is no longer run here.
+// dropReason is the reason why this daemon stopped running a job.
 type dropReason string
 
 // The reasons to drop a job.
 const (
 	dropFinished     dropReason = "finished"
-	dropEnded        dropReason = "ended"
+	dropCancelled    dropReason = "ended"
 	dropClaimRemoved dropReason = "claim_removed"
-	// dropToldEnded tells that the daemon told which ended the job.
-	dropReportedEnded dropReason = "told_ended"
-	dropClaimLost     dropReason = "claim_lost"
-	// dropOutOfStep tells that results are listed which this owner does not know of:
-	// it holds the claim, and reads the job anew.
+	// dropReportedEnded means that the daemon that cancelled the job reported it.
+	dropReportedCancelled dropReason = "told_ended"
+	dropClaimLost         dropReason = "claim_lost"
+	// dropUnknownResults means that results are stored that this owner does not have. It
+	// still holds the claim and loads the job again.
 	dropUnknownResults dropReason = "out_of_step"
 	dropStopping       dropReason = "stopping"
 )
 
-// isClaimGone reports whether the claim that was held is gone.
+// losesClaim reports whether the claim is gone after a drop for this reason.
 func (r dropReason) losesClaim() bool { return r != dropUnknownResults && r != dropStopping }
 
-// isOver reports whether nobody runs the job any more.
+// isOver reports whether the job is finished or cancelled, so that no daemon runs it
+// any more.
 func (r dropReason) isOver() bool {
-	return r == dropFinished || r == dropEnded || r == dropClaimRemoved || r == dropReportedEnded
+	return r == dropFinished || r == dropCancelled || r == dropClaimRemoved || r == dropReportedCancelled
 }
 
-// drop stops running a job whose claim is gone.
+// drop stops running a job if this daemon owns it.
 func (s *Service) drop(id string, reason dropReason) {
 	s.mutex.Lock()
-	held := s.owned[id]
+	owned := s.owned[id]
 	s.mutex.Unlock()
-	if held != nil {
-		held.drop(reason)
+	if owned != nil {
+		owned.drop(reason)
 	}
 }
 
-// drop stops running the job under this claim. The daemon may have taken the
-// job up again meanwhile, under a later claim, which is left alone.
+// drop stops running the job under this claim. If the daemon has started the job again
+// under a later claim, that run continues.
 func (o *ownedJob) drop(reason dropReason) {
 	s := o.service
 	s.mutex.Lock()
@@ -196,7 +209,8 @@
 	s.log.Info("job_dropped", "job", o.job.ID, "reason", string(reason), "epoch", o.claim.claim.Epoch, "version", o.claim.version, "claims_age_ms", shownAge(s.claimsAge()))
 }
 
-// nextCommit returns a channel that is closed at the next commit.
+// nextCommit returns a channel that is closed at the next commit or when the job is
+// dropped.
 func (o *ownedJob) nextCommit() <-chan struct{} {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -210,7 +224,7 @@
 	o.committedSignal = make(chan struct{})
 }
 
-// waiting returns the items that may be sent now.
+// sendable returns the queued items that may be sent now.
 func (o *ownedJob) sendable(now time.Time) []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -223,7 +237,7 @@
 	return ready
 }
 
-// running returns the items that are at backends.
+// running returns the items that are running at backends.
 func (o *ownedJob) running() []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -236,7 +250,7 @@
 	return found
 }
 
-// staying returns the items that are at backends and were not taken back.
+// notPreempted returns the running items that were not preempted.
 func (o *ownedJob) notPreempted() []*ownedItem {
 	found := []*ownedItem{}
 	running := o.running()
@@ -250,7 +264,7 @@
 	return found
 }
 
-// ranFor returns how long an item has run, over all its attempts.
+// ranFor returns the total run time of an item over all its attempts.
 func (o *ownedJob) ranFor(item *ownedItem, now time.Time) time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -260,7 +274,8 @@
 	return item.ranFor
 }
 
-// end records the end of an item and sees to its commit.
+// finish records the result of an item and starts committing results if no commit is in
+// progress.
 func (o *ownedJob) finish(ended *ownedItem, result Result) {
 	o.mutex.Lock()
 	if ended.state == itemFinished || o.dropped {
@@ -278,7 +293,7 @@
 	}
 }
 
-// requeue puts a running item back; it is sent again after the pause.
+// requeue queues a running item again. It may be sent after the pause.
 func (o *ownedJob) requeue(returned *ownedItem, pause time.Duration) {
 	o.mutex.Lock()
 	if returned.state == itemRunning {
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -13,12 +13,12 @@
 const (
 	maxReadAttempts = 3
 	maxPageResults  = 40
-	// pageBytes bounds the text of one page.
+	// maxPageBytes limits the text of one page. A single longer result is still returned.
 	maxPageBytes = 900 << 10
 )
 
-// Results returns results from a position on. With a wait, the call is held
-// until there is one.
+// Results returns the results that start at position from, up to the size of a page. If
+// there are none yet, it waits up to the duration wait and reads once more.
 func (s *Service) Results(ctx context.Context, id string, from int, wait time.Duration) (Page, error) {
 	accepted, err := s.acceptance(ctx, id)
 	if err != nil {
@@ -38,8 +38,9 @@
 	return page, err
 }
 
-// awaitProgress waits for results of a job: for a commit of the owner if that
-// is this daemon, else for the whole time.
+// awaitResults waits until the job may have new results. If this daemon owns the job,
+// it returns at the next commit; otherwise it waits the whole time. It returns false if
+// ctx ends first.
 func (s *Service) awaitResults(ctx context.Context, id string, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -52,19 +53,19 @@
 	return true
 }
 
-// progress returns a channel that is closed at the next commit of an owned
-// job, or nil.
+// nextCommit returns a channel that is closed at the next commit of an owned job, or
+// nil if this daemon does not own the job.
 func (s *Service) nextCommit(id string) <-chan struct{} {
 	s.mutex.Lock()
-	held := s.owned[id]
+	owned := s.owned[id]
 	s.mutex.Unlock()
-	if held == nil {
+	if owned == nil {
 		return nil
 	}
-	return held.nextCommit()
+	return owned.nextCommit()
 }
 
-// acceptance returns a job's acceptance row, which never changes.
+// acceptance returns a job's acceptance row. The row never changes, so it is cached.
 func (s *Service) acceptance(ctx context.Context, id string) (acceptance, error) {
 	s.mutex.Lock()
 	known, found := s.accepted[id]
@@ -89,7 +90,8 @@
 	return read, nil
 }
 
-// isAcceptanceKnown reports whether the job is known to exist, whoever's it is.
+// isAcceptanceKnown reports whether the job is known to exist, regardless of its
+// tenant.
 func (s *Service) isAcceptanceKnown(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,8 +120,8 @@
 	return results, nil
 }
 
-// resultRows reads some rows of results: fewer after a call that was not
-// answered in time, because the link may carry no more, and more again later.
+// resultRows reads rows of results. It reads fewer after a read that timed out, because
+// the link may be slow, and more again after successful reads.
 func (s *Service) resultRows(ctx context.Context, id string, from int) ([]table.Row, error) {
 	var page table.Page
 	err := s.retryRead(ctx, attemptTimeout, func(bounded context.Context) (err error) {
@@ -133,16 +135,16 @@
 	return page.Rows, err
 }
 
-// pageLimit is how many results one call reads. The zero value is the most. It
-// is safe for concurrent use.
+// pageLimit is the number of results to read in one call. The zero value is
+// maxPageResults. It is safe for concurrent use.
 type pageLimit struct {
-	// missing is by how many results the limit lies below pageResults.
+	// reduction is subtracted from maxPageResults.
 	reduction atomic.Int64
 }
 
 func (l *pageLimit) current() int { return maxPageResults - int(l.reduction.Load()) }
 
-// note learns from a call that was made with a limit.
+// adjust halves the limit after a call that timed out and doubles it after a success.
 func (l *pageLimit) adjust(limit int, err error) {
 	next := min(limit*2, maxPageResults)
 	if err != nil {
@@ -168,12 +170,13 @@
 	return result, err
 }
 
-// read reads a row or a few, a few times if the store fails.
+// read reads a small number of rows, with retries.
 func (s *Service) read(ctx context.Context, wanted table.Range) ([]table.Row, error) {
 	return s.readFor(ctx, attemptTimeout, wanted)
 }
 
-// readContent reads rows that together may be as large as a job's content.
+// readContent reads rows whose total size may reach that of a job's content, with
+// retries.
 func (s *Service) readContent(ctx context.Context, wanted table.Range) ([]table.Row, error) {
 	return s.readFor(ctx, timeoutFor(maxContentBytes), wanted)
 }
@@ -196,6 +199,7 @@
 	return content, err
 }
 
+// retryRead calls a read up to maxReadAttempts times, each bounded by attempt.
 func (s *Service) retryRead(ctx context.Context, attempt time.Duration, call func(context.Context) error) error {
 	var err error
 	for range maxReadAttempts {
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -21,31 +21,30 @@
 	"topazpulley/internal/telemetry"
 )
 
-// Self names this daemon's present life.
+// Self identifies this run of the daemon.
 type Self struct {
 	Name        string
 	Incarnation int64
 }
 
-// Peers tells which daemons are alive.
+// Peers provides the state of the other daemons and sends them notifications.
 type Peers interface {
-	// Liveness tells whether the daemon is alive in that incarnation.
+	// Liveness returns the state of the daemon with this incarnation.
 	Liveness(name string, incarnation int64) Liveness
-	// NotifyClaimRemoved tells a daemon, without waiting, that the claim of this version on a job
-	// that it owned was removed.
+	// NotifyClaimRemoved notifies a daemon, without waiting, that the claim of this
+	// version on a job that it owned was removed.
 	NotifyClaimRemoved(owner, job string, version table.Version)
-	// NotifyCancelRequest tells a daemon, without waiting, that the end of a job which it owns
-	// is wanted and not done yet.
-	NotifyCancelRequest(owner string, wanted CancelRequest)
-	// Successor is the daemon that should take over the key if this one is gone; empty
-	// means that none is known.
+	// NotifyCancelRequest sends a cancel request to a daemon without waiting.
+	NotifyCancelRequest(owner string, request CancelRequest)
+	// Successor returns the daemon that should take over the key if this one is gone. It
+	// is empty if none is known.
 	Successor(key string) string
-	// Rank is this daemon's place, from 0, among the live daemons in the order
-	// in which they should take over the key.
+	// Rank returns this daemon's position, from 0, in the order in which live daemons
+	// should take over the key.
 	Rank(key string) int
 }
 
-// Dependencies are what a Service works with.
+// Dependencies are the parts of the daemon that a Service uses.
 type Dependencies struct {
 	Self     Self
 	Store    table.Store
@@ -55,32 +54,34 @@
 	Peers    Peers
 	Metrics  *telemetry.Serving
 	Logger   *slog.Logger
-	// Connections is this daemon's share of the connections to one backend of
-	// a service.
+	// Connections returns this daemon's share of the connections to one backend of a
+	// service.
 	Connections func(service string) int
-	// Quota bounds the tokens that wait on a route; nil means no bounds.
+	// Quota limits the tokens queued on a route. Nil means no limit.
 	Quota *quota.Accounts
-	// SettlingTime is how long after its start the service places no items unless
-	// it has heard of other daemons' work.
+	// SettlingTime is how long after its start the service sends no items unless it has
+	// received reports of other daemons.
 	SettlingTime time.Duration
-	// Zone is the daemon's own; empty means that zones do not matter.
+	// Zone is the zone of this daemon. If it is empty, zones are ignored.
 	Zone string
-	// BatchCapacity is the policy of the room for items; empty means that they take every
-	// slot that looks free.
+	// BatchCapacity is the policy that decides how much backend capacity items may use. If
+	// it is empty, items use every slot that appears free.
 	BatchCapacity batchcapacity.Policy
-	// Quarantine tells which items are not sent to backends; nil means that all are.
+	// Quarantine decides which items are not sent to backends. Nil means that all items
+	// are sent.
 	Quarantine *quarantine.Guard
-	// ClaimsAge returns for how long the claims, as the service was told of them, may
-	// not have been the present state.
+	// ClaimsAge returns how old the followed copy of the claims may be.
 	ClaimsAge func() time.Duration
-	// Availability tells whether the store answers; nil means that no submission is held.
+	// Availability reports whether the store answers. Nil means that no submissions are
+	// buffered.
 	Availability Availability
-	// SubmissionLimits bounds the submissions that are held while the store is away.
+	// SubmissionLimits limits the submissions that are buffered while the store is
+	// unavailable.
 	SubmissionLimits submissionbuffer.Limits
 }
 
-// Service answers calls about jobs and runs the jobs that this daemon owns.
-// mutex guards the fields behind it.
+// Service answers calls about jobs and runs the jobs that this daemon owns. mutex
+// guards the fields after it.
 type Service struct {
 	self        Self
 	store       table.Store
@@ -91,18 +92,18 @@
 	metrics     *telemetry.Serving
 	log         *slog.Logger
 	connections func(service string) int
-	// settledAt is when items are placed even if no other daemon was heard.
+	// placeAfter is the time from which items are sent even if no reports of other daemons
+	// were received.
 	placeAfter time.Time
 
 	lifetime       context.Context
 	cancelLifetime context.CancelFunc
-	// stopped ends when the daemon begins to stop, by stop.
+	// stopped ends when Stop is called.
 	stopped context.Context
 	stop    context.CancelFunc
 	wake    chan struct{}
-	// dispatchedAt belongs to the dispatcher's goroutine.
-	dispatchedAt time.Time
-	// claimsAreOld belongs to it too.
+	// dispatchedAt and hasStaleClaims belong to the dispatcher's goroutine.
+	dispatchedAt   time.Time
 	hasStaleClaims bool
 	placer         *placer
 	capacities     *rooms
@@ -118,34 +119,36 @@
 
 	mutex sync.Mutex
 	clock itemClock
-	// claims are the claim rows as of the version followed. Only the follower
-	// changes them.
+	// claims is the followed copy of the claim rows, at version followed.
 	claims   map[string]versionedClaim
 	followed table.Version
-	// gone are the versions up to which claims are known to be gone although the copy
-	// that is followed still may have them, by job.
+	// removed holds, by job, the version up to which claims are known to be removed
+	// although the followed copy may still contain them.
 	removed map[string]table.Version
-	// orphans are the jobs whose owner is missing, with the time since when;
-	// claimedAt is when a claim was last seen to change.
+	// orphans holds the jobs whose owner is missing and since when. claimedAt is when a
+	// job's claim was last seen to change.
 	orphans   map[string]time.Time
 	claimedAt map[string]time.Time
 	takeovers takeovers
 	owned     map[string]*ownedJob
-	accepted  map[string]acceptance
-	// over are jobs that ended here and whose account was not told yet.
+	// accepted caches acceptance rows by job.
+	accepted map[string]acceptance
+	// unsettledJobs are jobs that finished here and whose quota account is not settled
+	// yet.
 	unsettledJobs map[string]overJob
-	submission    int64
-	stopping      bool
+	// submission numbers the quota reservations of this run of the daemon.
+	submission int64
+	stopping   bool
 }
 
-// versionedClaim is a claim with the version of its row, the fence of every
-// commit under it.
+// versionedClaim is a claim and the version of its row. Every commit under the claim is
+// conditional on the version.
 type versionedClaim struct {
 	claim   claim
 	version table.Version
 }
 
-// NewService returns a service; Run makes it work.
+// NewService returns a service that does nothing until Run is called.
 func NewService(dependencies Dependencies) *Service {
 	lifetime, cancelLifetime := context.WithCancel(context.Background())
 	stopped, stop := context.WithCancel(lifetime)
@@ -181,7 +184,7 @@
 	s.dispatchItems(ctx)
 }
 
-// Stop gives up all owned jobs, so that other daemons go on with them at once.
+// Stop releases all owned jobs so that other daemons continue them immediately.
 func (s *Service) Stop(ctx context.Context) {
 	s.mutex.Lock()
 	s.stopping = true
@@ -195,7 +198,7 @@
 	released.Wait()
 }
 
-// ownedJobs lists the owned jobs. mutex must be held.
+// ownedJobs returns the owned jobs. mutex must be held.
 func (s *Service) ownedJobs() []*ownedJob {
 	jobs := make([]*ownedJob, 0, len(s.owned))
 	for _, each := range s.owned {
@@ -204,7 +207,7 @@
 	return jobs
 }
 
-// Owned returns how many jobs this daemon runs.
+// Owned returns the number of jobs that this daemon runs.
 func (s *Service) Owned() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -219,7 +222,7 @@
 	}
 }
 
-// objectName names the object of a job's items by its content.
+// objectName returns the name of the object that holds a job's content.
 func objectName(id string, content []byte) string {
 	return "job-" + id + "-" + strconv.FormatUint(xxhash.Sum64(content), 16)
 }
--- a/internal/job/storecall.go
+++ b/internal/job/storecall.go
@@ -8,22 +8,21 @@
 )
 
 const (
-	// storePause is the mean pause between two tries of a call.
+	// retryPause is the mean pause between two attempts of a call.
 	retryPause = 60 * time.Millisecond
-	// storeAttempt bounds one call that carries little; slow stores answer
-	// within half of it.
+	// attemptTimeout bounds one call that transfers little data.
 	attemptTimeout = 900 * time.Millisecond
-	// slowLinkBytes is what a link carries in a second at least: a tenth of the
-	// slowest links of 30 Mbit/s, whose rest other work may take.
+	// minLinkRate is the transfer rate in bytes per second that is assumed for large
+	// calls. It is a tenth of a 30 Mbit/s link.
 	minLinkRate = 384 << 10
 )
 
-// attemptTime bounds one call that carries so many bytes.
+// timeoutFor returns the timeout of one call that transfers size bytes.
 func timeoutFor(size int) time.Duration {
 	return attemptTimeout + time.Duration(size)*time.Second/minLinkRate
 }
 
-// commit tries a transaction once, for as long as its size takes on a slow link.
+// commit tries a transaction once, with a timeout that depends on its size.
 func (s *Service) commit(ctx context.Context, transaction table.Transaction) (table.Version, error) {
 	size := 0
 	for _, write := range transaction.Writes {
--- a/internal/job/tenant.go
+++ b/internal/job/tenant.go
@@ -9,15 +9,15 @@
 	"topazpulley/internal/table"
 )
 
-// TenantJobs answers a tenant's calls about jobs: those of other tenants do not
-// exist for it.
+// TenantJobs answers a tenant's calls about jobs. Jobs of other tenants are reported as
+// not found.
 type TenantJobs struct {
 	service *Service
 	tenant  string
 }
 
-// Of returns the jobs of a tenant by its name; an empty name stands for callers
-// that no tenant is known of.
+// Of returns the jobs of the named tenant. An empty name is for callers without a
+// tenant.
 func (s *Service) Of(tenant string) TenantJobs { return TenantJobs{service: s, tenant: tenant} }
 
 // Results is Service.Results for the tenant's own jobs.
@@ -36,6 +36,7 @@
 	return t.service.Body(ctx, id, item)
 }
 
+// check returns an error unless the job exists and the tenant may access it.
 func (t TenantJobs) check(ctx context.Context, id string) error {
 	accepted, err := t.service.acceptance(ctx, id)
 	if failure.Is(err, failure.KindNotFound) && t.service.awaitInitialClaims(ctx) {
@@ -51,9 +52,9 @@
 	return nil
 }
 
-// unlessUnsure returns the error of a job that was not found, or that nothing is known
-// for sure: the read may have been an old one. Whoever has heard nothing for a while, as
-// behind a pause, does not know the versions by which that is told.
+// checkClaimsAge replaces a not-found error by an unavailable one if the followed copy
+// of the claims is too old. The read may then have been stale, because the copy
+// supplies the versions that detect stale reads.
 func (s *Service) checkClaimsAge(err error) error {
 	if age := s.claimsAge(); failure.Is(err, failure.KindNotFound) && age > claimsAgeLimit {
 		return unavailable(&staleClaimsError{claimsAge: age})
@@ -61,20 +62,20 @@
 	return err
 }
 
-// unsureError tells that nothing is known for sure of what was not found.
+// staleClaimsError reports that a job was not found by a read that may be stale.
 type staleClaimsError struct{ claimsAge time.Duration }
 
 // Error implements error.
 func (e *staleClaimsError) Error() string {
-	return "the read may be old: claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
+	return "the read may be stale: claims_age_ms=" + strconv.FormatInt(shownAge(e.claimsAge), 10)
 }
 
-// mayAccess reports whether a caller may deal with the job of an owner. A job
-// without a tenant is open to all.
+// mayAccess reports whether a caller may access a job of the tenant owner. Jobs without
+// a tenant are accessible to all.
 func mayAccess(owner, caller string) bool { return owner == "" || owner == caller }
 
-// tenantOfRow returns whose a job is by its acceptance. A row that cannot be read
-// belongs to nobody, so that its sender is not told that the job is missing.
+// tenantOfRow returns the tenant in an acceptance row. It is empty if the row cannot be
+// decoded, so that the submitter does not get a not-found error.
 func (s *Service) tenantOfRow(row table.Row) string {
 	var accepted acceptance
 	if err := decode(row, &accepted); err != nil {
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -134,7 +134,7 @@
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
 mutant no_checkpoint internal/job/ownedjob.go \
-	'begun.progress.restore(earlier.checkpoints[item.ID])' '' internal/job TestNextOwnerGoesOnAtTheCheckpoint
+	'added.progress.restore(earlier.checkpoints[item.ID])' '' internal/job TestNextOwnerGoesOnAtTheCheckpoint
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
@@ -358,7 +358,7 @@
 mutant early_end_of_any_tenant internal/job/voidrow.go \
 	'v.IsCancelled && mayAccess(tenant, v.Tenant)' 'v.IsCancelled' internal/job TestEndOfAnotherTenantVoidsNoAcceptance
 mutant void_once_only internal/job/voidrow.go \
-	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
+	'		existing = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
 	'e.noteSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -59,10 +59,10 @@
 replace internal/job/permit.go 'case age > claimsAgeLimit:' 'case age < 0:'
 replace internal/job/permit.go 'case s.cancellations.isBlocked(' 'case age < 0 && s.cancellations.isBlocked('
 replace internal/job/permit.go 'isOld := age > claimsAgeLimit' 'isOld := age < 0'
-replace internal/job/claims.go 'isLost = held != nil && row.Version > held.claim.version' 'isLost = held == nil && row.Version < 0'
+replace internal/job/claims.go 'isLost = owned != nil && row.Version > owned.claim.version' 'isLost = owned == nil && row.Version < 0'
 replace internal/job/claims.go 'case !exists:
 			lost[id] = dropClaimRemoved' 'case !exists:'
-replace internal/job/claims.go 'isEnded := held != nil && held.claim.version <= version' 'isEnded := held != nil && version < 0'
+replace internal/job/claims.go 'isEnded := owned != nil && owned.claim.version <= version' 'isEnded := owned != nil && version < 0'
 soak runs_on_after_its_end
 
 replace internal/job/cancel.go 'context.WithTimeout(s.lifetime, endTime)' 'context.WithTimeout(ctx, endTime)'
