--- a/internal/job/accept.go
+++ b/internal/job/accept.go
@@ -11,55 +11,54 @@
 	"topazpulley/internal/table"
 )
 
-// submitTime bounds how long a submission is tried at a store that answers others:
-// another daemon may reach it.
-const submitTime = 2800 * time.Millisecond
+// submitTimeout bounds one attempt to accept a job. It leaves the caller time to try
+// another daemon.
+const submitTimeout = 2800 * time.Millisecond
 
-// Submit accepts a job durably. A nil error means that the job is in the
-// system's keeping; a failure marked as not run promises that nothing of it
-// will run because of this call; any other failure promises nothing. The
-// context bounds how long the caller waits; while the store is away, the submission is
-// held for all of that.
+// Submit accepts a job durably. A nil error means that the job is stored and will run.
+// A failure marked as not run guarantees that nothing of the job runs because of this
+// call. After any other failure the outcome is unknown. While the store is unavailable,
+// the submission is buffered until ctx ends.
 func (s *Service) Submit(ctx context.Context, submitted Job) error {
-	for wasUnderWay := false; ; wasUnderWay = true {
+	for wasTried := false; ; wasTried = true {
 		if known, isOpen := s.openTenant(submitted.ID); isOpen {
-			return s.acknowledgeKnown(submitted, known)
+			return s.acknowledgeExisting(submitted, known)
 		}
 		wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)
 		if err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
-		err = s.submitOnce(ctx, submitted, wasUnderWay || wasHeld)
+		err = s.submitOnce(ctx, submitted, wasTried || wasHeld)
 		if !isBufferable(ctx, err) || !s.isStoreUnavailable() {
 			return err
 		}
 	}
 }
 
-// submitOnce tries to accept a job. wasUnderWay tells that its submission was tried or
-// held before: an end that came meanwhile ends it.
-func (s *Service) submitOnce(caller context.Context, submitted Job, wasUnderWay bool) error {
-	ctx, cancel := context.WithTimeout(caller, submitTime)
+// submitOnce tries once to accept a job. wasTried reports that the submission was tried
+// or buffered before: a cancellation that arrived since then applies to it.
+func (s *Service) submitOnce(caller context.Context, submitted Job, wasTried bool) error {
+	ctx, cancel := context.WithTimeout(caller, submitTimeout)
 	defer cancel()
-	held, err := s.reserve(ctx, &submitted)
+	reserved, err := s.reserve(ctx, &submitted)
 	if err != nil {
 		return s.refuseUnlessAccepted(ctx, submitted, err)
 	}
-	return s.accept(ctx, submitted, held, wasUnderWay)
+	return s.accept(ctx, submitted, reserved, wasTried)
 }
 
-// refuseUnlessAccepted refuses a job for which no tokens could be reserved. It may
-// have been accepted by an earlier call whose answer its caller has not had; while
-// the store does not tell, nothing is promised of a job that does not fit.
+// refuseUnlessAccepted handles a job for which no tokens could be reserved. An earlier
+// call may have accepted the job although its response was lost; then the submission
+// succeeds. If the store cannot be read, the outcome is reported as unknown.
 func (s *Service) refuseUnlessAccepted(ctx context.Context, submitted Job, refused error) error {
 	if failure.Is(refused, failure.KindOverloaded) {
 		accepted, err := s.acceptance(ctx, submitted.ID)
 		switch {
 		case err == nil:
-			return s.acknowledgeKnown(submitted, accepted.Tenant)
+			return s.acknowledgeExisting(submitted, accepted.Tenant)
 		case !failure.Is(err, failure.KindNotFound):
-			refused = outcomeUnknown(err)
+			refused = acceptanceUnknown(err)
 		}
 	}
 	s.logAcceptance(submitted, "refused", refused)
@@ -67,39 +66,39 @@
 }
 
 // accept commits the acceptance of a job whose tokens are reserved.
-func (s *Service) accept(ctx context.Context, submitted Job, held reservation, wasUnderWay bool) error {
-	transaction, err := s.acceptanceOf(ctx, submitted, held)
+func (s *Service) accept(ctx context.Context, submitted Job, reserved reservation, wasTried bool) error {
+	transaction, err := s.acceptanceTransaction(ctx, submitted, reserved)
 	if err != nil {
-		s.release(held)
+		s.release(reserved)
 		s.logAcceptance(submitted, "refused", err)
 		return err
 	}
-	ended, err := s.commitAcceptance(ctx, submitted, transaction, wasUnderWay)
+	outcome, err := s.commitAcceptance(ctx, submitted, transaction, wasTried)
 	switch {
 	case err != nil:
 		if failure.From(err).NotRun {
-			s.release(held)
+			s.release(reserved)
 		}
 		s.logAcceptance(submitted, "refused", err)
 		return err
-	case ended.voided != 0:
-		// The reservation may have been swept together with the last try.
-		held.voided = ended.voided
-		if err := s.renewReservation(ctx, &submitted, &held); err != nil {
+	case outcome.voided != 0:
+		// The sweeper may have released the reservation when it voided the last attempt.
+		reserved.voided = outcome.voided
+		if err := s.renewReservation(ctx, &submitted, &reserved); err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
-		return s.accept(ctx, submitted, held, wasUnderWay)
-	case !ended.isNew:
-		s.release(held)
-		return s.acknowledgeKnown(submitted, ended.tenant)
+		return s.accept(ctx, submitted, reserved, wasTried)
+	case !outcome.isNew:
+		s.release(reserved)
+		return s.acknowledgeExisting(submitted, outcome.tenant)
 	}
 	s.logAcceptance(submitted, "accepted", nil)
-	s.own(submitted, versionedClaim{claim: s.newClaim(1, submitted.Tenant), version: ended.version}, history{settled: held.settlement()})
+	s.startJob(submitted, versionedClaim{claim: s.newClaim(1, submitted.Tenant), version: outcome.version}, history{settled: reserved.settlement()})
 	return nil
 }
 
-// isOpen reports whether the job is known to be accepted and not over.
+// isOpen reports whether the job is known to be accepted and not finished.
 func (s *Service) isOpen(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,7 +106,7 @@
 	return isClaimed || s.owned[id] != nil
 }
 
-// openTenant returns whose a job is that is known to be accepted and not over.
+// openTenant returns the tenant of a job that is known to be accepted and not finished.
 func (s *Service) openTenant(id string) (tenant string, isOpen bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,9 +117,9 @@
 	return held.claim.Tenant, isClaimed
 }
 
-// acknowledgeKnown ends the call for a job that was accepted before. Another
-// tenant's job is none that the caller could have sent.
-func (s *Service) acknowledgeKnown(submitted Job, tenant string) error {
+// acknowledgeExisting completes a submission of a job that was accepted before. If the
+// job belongs to another tenant, it returns a not-found failure.
+func (s *Service) acknowledgeExisting(submitted Job, tenant string) error {
 	if !mayAccess(tenant, submitted.Tenant) {
 		err := notFound(submitted.ID)
 		s.logAcceptance(submitted, "refused", err)
@@ -140,21 +139,21 @@
 }
 
 const (
-	// contentRowBytes is the part of a job's content that one row holds.
-	contentRowBytes = 48 << 10
-	// contentBytes is the largest content that the transaction of the
-	// acceptance carries; a larger one is stored as an object first.
-	contentBytes = 600 << 10
+	// maxContentRowBytes limits the part of a job's content in one row.
+	maxContentRowBytes = 48 << 10
+	// maxContentBytes limits the content in the acceptance transaction. Larger content is
+	// stored as an object first.
+	maxContentBytes = 600 << 10
 )
 
-// acceptanceOf makes the transaction that makes a job exist. The rows of its
-// content are part of it, because one call is faster than two.
-func (s *Service) acceptanceOf(ctx context.Context, submitted Job, held reservation) (table.Transaction, error) {
+// acceptanceTransaction builds the transaction that creates a job. It includes the
+// content rows, which saves a second call.
+func (s *Service) acceptanceTransaction(ctx context.Context, submitted Job, reserved reservation) (table.Transaction, error) {
 	transaction := table.Transaction{
 		Partition:  shard(submitted.ID),
-		Conditions: []table.Condition{{Table: tableAccepted, Key: submitted.ID}, {Table: tableVoid, Key: submitted.ID, Version: held.voided}},
+		Conditions: []table.Condition{{Table: tableAccepted, Key: submitted.ID}, {Table: tableVoid, Key: submitted.ID, Version: reserved.voided}},
 	}
-	if held.voided != 0 {
+	if reserved.voided != 0 {
 		transaction.Removals = []table.Removal{{Table: tableVoid, Key: submitted.ID}}
 	}
 	content, err := encodeJob(submitted)
@@ -162,7 +161,7 @@
 		return transaction, err
 	}
 	row := acceptance{Total: len(submitted.Items), Tenant: submitted.Tenant}
-	if len(content) > contentBytes {
+	if len(content) > maxContentBytes {
 		row.Object = objectName(submitted.ID, content)
 		if err := s.putObject(ctx, row.Object, content); err != nil {
 			return transaction, unavailable(err)
@@ -182,29 +181,30 @@
 		{Table: tableClaim, Key: submitted.ID, Value: claimed},
 	}
 	for number := 0; len(content) > 0; number++ {
-		part := content[:min(contentRowBytes, len(content))]
+		part := content[:min(maxContentRowBytes, len(content))]
 		content = content[len(part):]
 		transaction.Writes = append(transaction.Writes, table.Write{Table: tableContent, Key: numberedKey(submitted.ID, number), Value: part})
 	}
 	return transaction, nil
 }
 
-// acceptanceEnd is how the commit of an acceptance ended: it made the job,
-// found that the job exists, or found it voided at a version.
-type acceptanceEnd struct {
+// acceptanceOutcome is the result of committing an acceptance: the job was created at
+// version, it already exists and belongs to tenant, or a void row of version voided
+// prevents it.
+type acceptanceOutcome struct {
 	isNew   bool
 	version table.Version
 	voided  table.Version
-	// tenant is that of a job which exists already.
-	tenant string
+	tenant  string
 }
 
-// commitAcceptance commits until the store tells how it ended. The job may
-// exist through an earlier try whose answer was lost. A job that was ended while the
-// call tried, or was held, is refused; one that was ended before that is wanted again.
-func (s *Service) commitAcceptance(ctx context.Context, submitted Job, transaction table.Transaction, wasUnderWay bool) (acceptanceEnd, error) {
+// commitAcceptance retries the commit until its outcome is known or ctx ends. An
+// earlier attempt whose response was lost may have created the job. A job that was
+// cancelled during the call or while its submission was buffered is refused. A
+// cancellation from before the call does not apply: the caller submits the job anew.
+func (s *Service) commitAcceptance(ctx context.Context, submitted Job, transaction table.Transaction, wasTried bool) (acceptanceOutcome, error) {
 	id, isUnsettled, tries := submitted.ID, false, 1
-	if wasUnderWay {
+	if wasTried {
 		tries++
 	}
 	for ; ; tries++ {
@@ -212,45 +212,45 @@
 		var conflict *table.ConflictError
 		switch {
 		case err == nil:
-			return acceptanceEnd{isNew: true, version: version}, nil
+			return acceptanceOutcome{isNew: true, version: version}, nil
 		case errors.As(err, &conflict) && conflict.Row(tableAccepted, id).Version == 0:
 			voided := conflict.Row(tableVoid, id)
-			if tries > 1 && s.voidingOf(voided).ends(submitted.Tenant) {
-				return acceptanceEnd{}, refusedAsEnded(id)
+			if tries > 1 && s.decodeVoid(voided).isCancelledFor(submitted.Tenant) {
+				return acceptanceOutcome{}, cancelledSubmission(id)
 			}
-			return acceptanceEnd{voided: voided.Version}, nil
+			return acceptanceOutcome{voided: voided.Version}, nil
 		case errors.As(err, &conflict):
-			// The job exists. If this daemon's own lost try made it, the claim
-			// is found by the follower like that of any other owner.
-			return acceptanceEnd{tenant: s.tenantOfRow(conflict.Row(tableAccepted, id))}, nil
+			// If a lost attempt of this daemon created the job, the claim follower finds the
+			// claim and this daemon takes the job over.
+			return acceptanceOutcome{tenant: s.tenantOfRow(conflict.Row(tableAccepted, id))}, nil
 		}
 		isUnsettled = isUnsettled || isUnknown(err)
-		if !periodic.SleepAbout(ctx, storePause) || !s.awaitStore(ctx) {
+		if !periodic.SleepAbout(ctx, retryPause) || !s.awaitStore(ctx) {
 			if isUnsettled {
-				return acceptanceEnd{}, outcomeUnknown(err)
+				return acceptanceOutcome{}, acceptanceUnknown(err)
 			}
-			return acceptanceEnd{}, unavailable(err)
+			return acceptanceOutcome{}, unavailable(err)
 		}
 	}
 }
 
-// isUnknown reports whether a failed call may have been carried out.
+// isUnknown reports whether a failed store call may have taken effect.
 func isUnknown(err error) bool {
 	var failed *table.Error
 	return errors.As(err, &failed) && failed.Kind == table.ErrorUnknown
 }
 
-// putObject stores an object, trying again until the context ends. Putting the
-// same object twice does no harm.
+// putObject stores an object and retries until ctx ends. Storing the same object twice
+// is harmless.
 func (s *Service) putObject(ctx context.Context, name string, content []byte) error {
 	for {
-		bounded, cancel := context.WithTimeout(ctx, attemptTime(len(content)))
+		bounded, cancel := context.WithTimeout(ctx, timeoutFor(len(content)))
 		err := s.store.PutObject(bounded, name, content)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		if !periodic.SleepAbout(ctx, storePause) {
+		if !periodic.SleepAbout(ctx, retryPause) {
 			return err
 		}
 	}
--- a/internal/job/accounts.go
+++ b/internal/job/accounts.go
@@ -135,7 +135,7 @@
 }
 
 // settleEnded queues the last settlement of a job that is over.
-func (s *Service) settleEnded(ended *owned) {
+func (s *Service) settleEnded(ended *ownedJob) {
 	ended.mutex.Lock()
 	target, epoch := ended.settled.account, ended.claim.claim.Epoch
 	ended.mutex.Unlock()
@@ -148,7 +148,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.over[ended.job.ID] = endedJob{account: target, epoch: epoch}
+	s.unsettledJobs[ended.job.ID] = endedJob{account: target, epoch: epoch}
 }
 
 // settleAll sends settlements to accounts until the context ends.
@@ -178,7 +178,7 @@
 type dueSettlement struct {
 	limit     quota.Limit
 	operation quota.Operation
-	owned     *owned
+	owned     *ownedJob
 }
 
 // dueSettlements returns the operations to send now, by account.
@@ -186,7 +186,7 @@
 	due := map[string][]dueSettlement{}
 	s.mutex.Lock()
 	jobs := s.ownedJobs()
-	for id, ended := range s.over {
+	for id, ended := range s.unsettledJobs {
 		operation := quota.Operation{Kind: quota.KindSettle, Job: id, Holder: s.self.Name, Epoch: ended.epoch}
 		due[ended.account.name] = append(due[ended.account.name], dueSettlement{limit: ended.account.limit, operation: operation})
 	}
@@ -206,7 +206,7 @@
 }
 
 // waitingTokens returns the size of the unfinished items.
-func (o *owned) waitingTokens() int64 {
+func (o *ownedJob) waitingTokens() int64 {
 	total := int64(0)
 	for _, each := range o.unfinished() {
 		total += int64(each.item.Tokens)
@@ -216,7 +216,7 @@
 
 // isSettlementDue reports whether the job's waiting tokens should be sent to its account now.
 // A job that was taken over is counted there already, with at least its waiting tokens.
-func (o *owned) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
+func (o *ownedJob) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	isCurrentAccount := o.settled.account.name == found.name
@@ -253,7 +253,7 @@
 	for _, each := range settled {
 		if each.owned == nil {
 			s.mutex.Lock()
-			delete(s.over, each.operation.Job)
+			delete(s.unsettledJobs, each.operation.Job)
 			s.mutex.Unlock()
 			continue
 		}
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -33,7 +33,7 @@
 )
 
 // runItem makes one attempt at an item. permit is called once the connection is established.
-func (s *Service) runItem(ctx context.Context, running *work, lease *backend.Lease, matched *route.Route, service string, permit func() error) {
+func (s *Service) runItem(ctx context.Context, running *ownedItem, lease *backend.Lease, matched *route.Route, service string, permit func() error) {
 	defer s.nudge()
 	defer lease.Release()
 	instance := lease.Instance()
@@ -84,7 +84,7 @@
 func (e *invalidItemError) Error() string { return "item rejected by the backend as invalid" }
 
 // readItem reads the answer to an item and adds its events to the item's progress.
-func (s *Service) readItem(running *work, answer serving.Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
+func (s *Service) readItem(running *ownedItem, answer serving.Answer, lease *backend.Lease, watched *watchdog.Watchdog) error {
 	head := answer.Head()
 	if !head.Successful() || !head.Events {
 		_, _ = answer.Body()
@@ -101,7 +101,7 @@
 			s.recordItemTime(running)
 			s.log.Info("item_completed", "job", running.owner.job.ID, "item", running.item.ID, "backend", lease.Instance().ID,
 				"events", running.progress.lastID(), "took_ms", time.Since(running.startedAt).Milliseconds())
-			running.owner.end(running, Result{Item: running.item.ID, State: StateCompleted, Text: running.progress.text()})
+			running.owner.finish(running, Result{Item: running.item.ID, State: StateCompleted, Text: running.progress.text()})
 			return nil
 		}
 		if err != nil {
@@ -116,7 +116,7 @@
 }
 
 // recordItemTime adds the run time of a completed item to the estimate.
-func (s *Service) recordItemTime(ended *work) {
+func (s *Service) recordItemTime(ended *ownedItem) {
 	ran := ended.owner.ranFor(ended, time.Now())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // handleFailure abandons an item or queues it again after a failed attempt.
-func (s *Service) handleFailure(ctx context.Context, running *work, instance backend.Instance, matched *route.Route, err error) {
+func (s *Service) handleFailure(ctx context.Context, running *ownedItem, instance backend.Instance, matched *route.Route, err error) {
 	owner := running.owner
 	if owner.ctx.Err() != nil {
 		s.log.Info("item_cut", "job", owner.job.ID, "item", running.item.ID, "backend", instance.ID,
@@ -140,7 +140,7 @@
 	if errors.As(err, &invalid) {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
 		s.log.Info("item_abandoned", "job", owner.job.ID, "item", running.item.ID, "backend", instance.ID, "reason", "invalid", "status", invalid.status)
-		owner.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+		owner.finish(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
 	s.recordFailure(running, instance, matched, err)
@@ -148,7 +148,7 @@
 
 // recordFailure counts a failed attempt against the backend or the item. The item is abandoned
 // after the route's maximum of attempts, and queued again before.
-func (s *Service) recordFailure(running *work, instance backend.Instance, matched *route.Route, err error) {
+func (s *Service) recordFailure(running *ownedItem, instance backend.Instance, matched *route.Route, err error) {
 	owner := running.owner
 	failed := &serving.AttemptError{Outcome: serving.OutcomeUnknown, Reason: serving.ReasonBroken}
 	_ = errors.As(err, &failed)
@@ -163,7 +163,7 @@
 		"reason", string(failed.Reason), "failures", running.progress.failureCount(), "last_event", running.progress.lastID(), "cause", failed.Cause, "fingerprint", running.fingerprint.String())
 	if running.progress.failureCount() >= matched.MaxAttempts {
 		s.log.Info("item_abandoned", "job", owner.job.ID, "item", running.item.ID, "reason", "failures", "failures", running.progress.failureCount())
-		owner.end(running, Result{Item: running.item.ID, State: StateAbandoned})
+		owner.finish(running, Result{Item: running.item.ID, State: StateAbandoned})
 		return
 	}
 	pause := failedPause
--- a/internal/job/buffering.go
+++ b/internal/job/buffering.go
@@ -50,7 +50,7 @@
 	// A daemon that stops must not wait for buffered submissions.
 	defer context.AfterFunc(s.stopped, cancel)()
 	started := time.Now()
-	remove, isBuffered := s.held.Add(submitted.contentBytes())
+	remove, isBuffered := s.submissions.Add(submitted.contentBytes())
 	switch {
 	case isBuffered:
 	case s.availability.Recheck(ctx):
@@ -60,7 +60,7 @@
 		return false, s.endBuffering(submitted, started, bufferingRefused)
 	}
 	defer remove()
-	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.held.Count(), "away_ms", s.unavailableFor(started).Milliseconds())
+	s.log.Info("job_held", "job", submitted.ID, "items", len(submitted.Items), "bytes", submitted.contentBytes(), "held", s.submissions.Count(), "away_ms", s.unavailableFor(started).Milliseconds())
 	if s.availability.AwaitReturn(ctx) {
 		return true, s.endBuffering(submitted, started, bufferingReturned)
 	}
@@ -104,7 +104,7 @@
 // take effect any more, and its caller still waits.
 func isBufferable(ctx context.Context, err error) bool {
 	failed := failure.From(err)
-	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeEndedEarly
+	return err != nil && ctx.Err() == nil && failed.Kind == failure.KindUnavailable && failed.NotRun && failed.Code != codeCancelledEarly
 }
 
 // contentBytes returns the size of all item bodies.
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -12,8 +12,8 @@
 	"topazpulley/internal/serving"
 )
 
-// jobSchema is how a job's content lies in the store. Fields are only ever
-// added, with a default.
+// jobSchema is the stored form of a job's content. Fields may only be added, each with
+// a default.
 var jobSchema = avrocodec.MustParse(`{"type":"record","name":"job","fields":[
 	{"name":"id","type":"string"},{"name":"host","type":"string"},{"name":"submitted_ms","type":"long"},
 	{"name":"due_ms","type":"long"},{"name":"give_up_ms","type":"long"},
@@ -25,6 +25,8 @@
 			{"name":"id","type":"string"},{"name":"tokens","type":"long"}]}}}]}}},
 	{"name":"tenant","type":"string","default":""}]}`)
 
+// jobRecord and the records below it are the Go forms of jobSchema. Tokens and prompt
+// sizes are in tokens, times in milliseconds.
 type jobRecord struct {
 	ID          string       `avro:"id"`
 	Host        string       `avro:"host"`
@@ -60,13 +62,13 @@
 		DueMs: job.Due.Milliseconds(), GiveUpMs: job.GiveUpAfter.Milliseconds(), Items: []itemRecord{}, Tenant: job.Tenant,
 	}
 	for _, item := range job.Items {
-		record.Items = append(record.Items, recordOf(item))
+		record.Items = append(record.Items, newItemRecord(item))
 	}
 	content, err := avro.Marshal(jobSchema, record)
 	return content, errors.WithStack(err)
 }
 
-func recordOf(item Item) itemRecord {
+func newItemRecord(item Item) itemRecord {
 	record := itemRecord{ID: item.ID, Path: item.Path, Tokens: int64(item.Tokens), Body: item.Body, Fields: []fieldRecord{}, Prompt: []partRecord{}}
 	if record.Body == nil {
 		record.Body = []byte{}
@@ -90,12 +92,12 @@
 		Due: milliseconds(record.DueMs), GiveUpAfter: milliseconds(record.GiveUpMs),
 	}
 	for _, item := range record.Items {
-		job.Items = append(job.Items, itemOf(item))
+		job.Items = append(job.Items, newItem(item))
 	}
 	return job, nil
 }
 
-func itemOf(record itemRecord) Item {
+func newItem(record itemRecord) Item {
 	item := Item{ID: record.ID, Path: record.Path, Tokens: int(record.Tokens), Body: record.Body}
 	for _, field := range record.Fields {
 		item.Fields = append(item.Fields, serving.Field{Name: field.Name, Value: field.Value})
--- a/internal/job/commit.go
+++ b/internal/job/commit.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// commitDelay gathers results that end close together in one commit.
+	// commitDelay is the mean wait before a commit, so that results that arrive close
+	// together share it.
 	commitDelay = 60 * time.Millisecond
-	// commitResults bounds the results of one commit. The store takes 100 rows
-	// in a transaction, and each result names up to three.
-	commitResults = 25
-	// commitBytes is the most text of one commit: a third of a second of the
-	// slowest links of 30 Mbit/s, in the store's encoding. leastCommitBytes is
-	// what one commit carries however often the store did not answer in time.
-	commitBytes      = 512 << 10
-	leastCommitBytes = 16 << 10
-	// inlineBytes is the longest text that a row holds.
-	inlineBytes = 40 << 10
+	// maxCommitResults limits the results in one commit. A transaction takes at most 100
+	// rows, and each result uses up to three.
+	maxCommitResults = 25
+	// maxCommitBytes limits the result text in one commit. The limit is halved after
+	// commits that time out, down to minCommitBytes, and doubled after each success.
+	maxCommitBytes = 512 << 10
+	minCommitBytes = 16 << 10
+	// maxInlineBytes is the longest text that is stored in the result row. Longer texts
+	// are stored as objects.
+	maxInlineBytes = 40 << 10
 )
 
-// commitFinished commits results until none is left.
-func (o *owned) commitFinished() {
+// commitFinished commits results until none is left or the job is dropped.
+func (o *ownedJob) commitFinished() {
 	for periodic.SleepAbout(o.ctx, commitDelay) {
-		batch, position, isLast := o.takeFinished()
+		batch, position, isLast := o.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -42,10 +43,10 @@
 			o.drop(lost.reason())
 			return
 		case err != nil:
-			o.noteUncommitted(len(batch), err)
+			o.handleCommitFailure(len(batch), err)
 			continue
 		}
-		o.advance(len(batch))
+		o.markCommitted(len(batch))
 		if isLast {
 			o.drop(dropFinished)
 			return
@@ -53,26 +54,26 @@
 	}
 }
 
-// noteUncommitted makes the next commit smaller when the store did not answer
-// in time: the link may carry no more.
-func (o *owned) noteUncommitted(count int, err error) {
+// handleCommitFailure logs a failed commit. If the store did not respond in time, it
+// halves the maximum size of the next commit, because the link may be slow.
+func (o *ownedJob) handleCommitFailure(count int, err error) {
 	if isUnknown(err) {
 		o.mutex.Lock()
-		o.commitLimit = max(o.commitLimit/2, leastCommitBytes)
+		o.commitLimit = max(o.commitLimit/2, minCommitBytes)
 		o.mutex.Unlock()
 	}
 	o.service.log.Info("job_results_not_committed", "job", o.job.ID, "count", count, "error", err)
 }
 
-// takeFinished returns the next results to commit and the position of the
-// first. When there are none, committing ends.
-func (o *owned) takeFinished() (batch []Result, position int, isLast bool) {
+// nextBatch returns the next results to commit and the position of the first one. If
+// there are none, it marks the committing goroutine as ended.
+func (o *ownedJob) nextBatch() (batch []Result, position int, isLast bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	size := 0
 	for _, result := range o.finished {
 		size += len(result.Text)
-		if len(batch) == commitResults || (size > o.commitLimit && len(batch) > 0) {
+		if len(batch) == maxCommitResults || (size > o.commitLimit && len(batch) > 0) {
 			break
 		}
 		batch = append(batch, result)
@@ -80,33 +81,34 @@
 	if len(batch) == 0 {
 		o.committing = false
 	}
-	return batch, o.committed, o.committed+len(batch) == len(o.works)
+	return batch, o.committed, o.committed+len(batch) == len(o.items)
 }
 
-// advance notes that the first results were committed.
-func (o *owned) advance(count int) {
+// markCommitted removes the first count results from the queue after their commit.
+func (o *ownedJob) markCommitted(count int) {
 	o.mutex.Lock()
 	o.finished = o.finished[count:]
 	o.committed += count
-	o.commitLimit = min(o.commitLimit*2, commitBytes)
+	o.commitLimit = min(o.commitLimit*2, maxCommitBytes)
 	committed := o.committed
 	o.mutex.Unlock()
-	o.announceCommit()
-	o.service.log.Info("job_results_committed", "job", o.job.ID, "count", count, "listed", committed, "items", len(o.works))
+	o.notifyCommit()
+	o.service.log.Info("job_results_committed", "job", o.job.ID, "count", count, "listed", committed, "items", len(o.items))
 }
 
-// claimLostError tells that another owner or the job's end came between, or that
-// results are listed which this owner does not know of although it holds the claim.
+// claimLostError reports that a commit failed because the claim changed or was removed,
+// or because other results are stored at these positions although the claim is still
+// held.
 type claimLostError struct {
 	job string
-	// isHeld tells that the claim is held all the same.
-	isHeld bool
+	// ownsClaim reports that the claim is still held.
+	ownsClaim bool
 }
 
 // reason returns why the job is dropped.
 func (e *claimLostError) reason() dropReason {
-	if e.isHeld {
-		return dropOutOfStep
+	if e.ownsClaim {
+		return dropUnknownResults
 	}
 	return dropClaimLost
 }
@@ -114,9 +116,9 @@
 // Error implements error.
 func (e *claimLostError) Error() string { return "the claim on job " + e.job + " is lost" }
 
-// commitBatch tries once to commit results at fixed positions. An earlier try
-// whose answer was lost may have committed them, or more behind them.
-func (o *owned) commitBatch(ctx context.Context, batch []Result, position int, isLast bool) error {
+// commitBatch tries once to commit results at fixed positions. An earlier attempt whose
+// response was lost may have committed them and further results after them.
+func (o *ownedJob) commitBatch(ctx context.Context, batch []Result, position int, isLast bool) error {
 	transaction, err := o.resultTransaction(ctx, batch, position, isLast)
 	if err != nil {
 		return err
@@ -124,19 +126,19 @@
 	_, err = o.service.commit(ctx, transaction)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		return o.settle(conflict, transaction)
+		return o.resolveConflict(conflict, transaction)
 	}
 	return err
 }
 
-// settle tells an earlier try of the same commit, whose answer was lost, from
-// a lost claim. The claim is gone when the earlier try reached to the last
-// result.
-func (o *owned) settle(conflict *table.ConflictError, transaction table.Transaction) error {
+// resolveConflict distinguishes an earlier successful attempt of the same commit from a
+// lost claim. It returns nil if all rows are stored as written and the claim is
+// unchanged or removed. The claim is removed together with the last result.
+func (o *ownedJob) resolveConflict(conflict *table.ConflictError, transaction table.Transaction) error {
 	held := conflict.Row(tableClaim, o.job.ID).Version
 	for _, write := range transaction.Writes {
 		if !bytes.Equal(conflict.Row(write.Table, write.Key).Value, write.Value) {
-			return &claimLostError{job: o.job.ID, isHeld: held == o.claim.version}
+			return &claimLostError{job: o.job.ID, ownsClaim: held == o.claim.version}
 		}
 	}
 	if held == o.claim.version || held == 0 {
@@ -145,7 +147,7 @@
 	return &claimLostError{job: o.job.ID}
 }
 
-func (o *owned) resultTransaction(ctx context.Context, batch []Result, position int, isLast bool) (table.Transaction, error) {
+func (o *ownedJob) resultTransaction(ctx context.Context, batch []Result, position int, isLast bool) (table.Transaction, error) {
 	transaction := table.Transaction{
 		Partition:  shard(o.job.ID),
 		Conditions: []table.Condition{{Table: tableClaim, Key: o.job.ID, Version: o.claim.version}},
@@ -168,10 +170,11 @@
 	return transaction, nil
 }
 
-// encodeResult makes a result's row; a long text is stored as an object first.
-func (o *owned) encodeResult(ctx context.Context, result Result) ([]byte, error) {
+// encodeResult encodes a result's row. A text longer than maxInlineBytes is stored as
+// an object first.
+func (o *ownedJob) encodeResult(ctx context.Context, result Result) ([]byte, error) {
 	row := resultRow{Item: result.Item, State: result.State, Text: result.Text}
-	if len(result.Text) > inlineBytes {
+	if len(result.Text) > maxInlineBytes {
 		text := []byte(result.Text)
 		row.Text = ""
 		row.Object = "result-" + result.Item + "-" + strconv.FormatUint(xxhash.Sum64(text), 16)
@@ -182,13 +185,13 @@
 	return encode(row)
 }
 
-// releasePoll is the pause between two looks at results that wait for their
-// commit.
+// releasePoll is the mean interval at which release checks for items that still run and
+// results that are not committed.
 const releasePoll = 20 * time.Millisecond
 
-// release stops the items, keeps their progress in the store and gives the
-// claim up, so that another daemon goes on at once where this one stopped.
-func (o *owned) release(ctx context.Context) {
+// release stops the items, saves their progress and gives up the claim, so that another
+// daemon continues from there immediately.
+func (o *ownedJob) release(ctx context.Context) {
 	o.stopItems()
 	for o.isBusy() && periodic.SleepAbout(ctx, releasePoll) {
 	}
@@ -205,19 +208,19 @@
 	o.service.log.Info("job_released", "job", o.job.ID, "error", err)
 }
 
-// stopItems takes all running items back.
-func (o *owned) stopItems() {
+// stopItems cancels all running items.
+func (o *ownedJob) stopItems() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for _, each := range o.works {
+	for _, each := range o.items {
 		if each.state == itemRunning {
 			each.cancel()
 		}
 	}
 }
 
-// isBusy reports whether items run or results wait for their commit.
-func (o *owned) isBusy() bool {
+// isBusy reports whether items are running or results are not committed yet.
+func (o *ownedJob) isBusy() bool {
 	if len(o.running()) > 0 {
 		return true
 	}
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -67,7 +67,7 @@
 // resetPreempt sets the time of the next check for preemption, if any job is owned.
 func (s *Service) resetPreempt(isIdle bool, preempt *time.Ticker) {
 	if !isIdle {
-		preempt.Reset(s.yielder.nextCheck())
+		preempt.Reset(s.preempter.nextCheck())
 	}
 }
 
@@ -92,7 +92,7 @@
 	s.mutex.Unlock()
 	// Owners that start at the same time and have no reports of each other would send their
 	// items to the same free slots.
-	isSettled := s.backends.HasPeerReports() || !now.Before(s.settledAt)
+	isSettled := s.backends.HasPeerReports() || !now.Before(s.placeAfter)
 	if isStopping || !isSettled || now.Sub(s.dispatchedAt) < dispatchInterval/2 {
 		return
 	}
@@ -102,10 +102,10 @@
 	}
 	s.dispatchedAt = now
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].due.Before(jobs[b].due) })
-	ready := []*work{}
+	ready := []*ownedItem{}
 	for _, each := range jobs {
-		if !s.endings.isHeld(each.job.ID) {
-			ready = append(ready, each.waiting(now)...)
+		if !s.cancellations.isBlocked(each.job.ID) {
+			ready = append(ready, each.sendable(now)...)
 		}
 	}
 	s.placer.begin(len(ready), s.backends.PeerWaiting(), now, s.propagationWindow())
@@ -119,10 +119,10 @@
 }
 
 // waitingItems counts the items that could be sent.
-func (s *Service) waitingItems(jobs []*owned, now time.Time) int {
+func (s *Service) waitingItems(jobs []*ownedJob, now time.Time) int {
 	count := 0
 	for _, each := range jobs {
-		count += len(each.waiting(now))
+		count += len(each.sendable(now))
 	}
 	return count
 }
@@ -133,16 +133,16 @@
 
 // dispatch sends one item if a backend has a free slot, or abandons it if it is malformed or
 // its time is over. It returns false if the item remains waiting.
-func (s *Service) dispatch(waiting *work, now time.Time) bool {
+func (s *Service) dispatch(waiting *ownedItem, now time.Time) bool {
 	owner := waiting.owner
 	if waiting.malformed != nil {
 		s.metrics.Items.WithLabelValues(string(StateAbandoned)).Inc()
 		s.log.Info("item_abandoned", "job", owner.job.ID, "item", waiting.item.ID, "reason", "malformed", "error", waiting.malformed)
-		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		owner.finish(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
 	if !owner.giveUp.IsZero() && now.After(owner.giveUp) {
-		owner.end(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
+		owner.finish(waiting, Result{Item: waiting.item.ID, State: StateAbandoned})
 		return true
 	}
 	matched, service, found := s.routeOf(owner.job.Host, waiting.item)
@@ -166,7 +166,7 @@
 	}
 	ctx, cancel := context.WithCancel(owner.ctx)
 	owner.mutex.Lock()
-	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isYielding = itemRunning, chosen.ID, now, cancel, false
+	waiting.state, waiting.backend, waiting.startedAt, waiting.cancel, waiting.isPreempted = itemRunning, chosen.ID, now, cancel, false
 	owner.mutex.Unlock()
 	permit := func() error {
 		err := s.permit(waiting)
@@ -187,7 +187,7 @@
 
 // countSend counts an attempt at an item that is about to be sent. It returns the attempt's
 // number and the epoch of the claim under which it is sent.
-func (o *owned) countSend(leaving *work) (number int, epoch int64) {
+func (o *ownedJob) countSend(leaving *ownedItem) (number int, epoch int64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	leaving.sends++
@@ -195,7 +195,7 @@
 }
 
 // postponeQuarantined postpones an item that is quarantined, and reports whether it is.
-func (s *Service) postponeQuarantined(waiting *work, now time.Time) bool {
+func (s *Service) postponeQuarantined(waiting *ownedItem, now time.Time) bool {
 	if s.quarantine == nil {
 		return false
 	}
@@ -238,7 +238,7 @@
 }
 
 // isUrgent reports whether an item must run now to end before it is due.
-func (s *Service) isUrgent(waiting *work, now time.Time) bool {
+func (s *Service) isUrgent(waiting *ownedItem, now time.Time) bool {
 	ran := waiting.owner.ranFor(waiting, now)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -255,18 +255,18 @@
 	}
 	now := time.Now()
 	window := s.propagationWindow()
-	s.yielder.forget(now, window)
+	s.preempter.forget(now, window)
 	running := map[string][]runningItem{}
 	for _, each := range jobs {
-		for _, item := range each.staying() {
-			running[item.backend] = append(running[item.backend], runningItem{work: item, isUrgent: s.isUrgent(item, now)})
+		for _, item := range each.notPreempted() {
+			running[item.backend] = append(running[item.backend], runningItem{ownedItem: item, isUrgent: s.isUrgent(item, now)})
 		}
 	}
 	for _, candidate := range s.preemptableLoads(running) {
 		for _, item := range s.itemsToPreempt(candidate, running[candidate.ID], now, window) {
 			s.log.Info("item_yielded", "job", item.owner.job.ID, "item", item.item.ID, "backend", candidate.ID, "urgent", item.isUrgent,
 				"online", candidate.Online, "batch", candidate.Batch, "slots", candidate.Slots, "last_event", item.progress.lastID())
-			item.yield()
+			item.preempt()
 		}
 	}
 }
@@ -280,9 +280,9 @@
 	s.mutex.Unlock()
 	items := []runningItem{}
 	for _, each := range jobs {
-		for _, item := range each.staying() {
+		for _, item := range each.notPreempted() {
 			if item.backend == id {
-				items = append(items, runningItem{work: item, isUrgent: s.isUrgent(item, now)})
+				items = append(items, runningItem{ownedItem: item, isUrgent: s.isUrgent(item, now)})
 			}
 		}
 	}
@@ -297,7 +297,7 @@
 	sortForPreemption(items)
 	chosen := items[0]
 	s.log.Info("item_gave_way", "job", chosen.owner.job.ID, "item", chosen.item.ID, "backend", id, "urgent", chosen.isUrgent, "last_event", chosen.progress.lastID())
-	chosen.yield()
+	chosen.preempt()
 }
 
 // sortForPreemption sorts items by the order in which they are preempted: those that aren't
@@ -313,13 +313,13 @@
 
 // runningItem is an item that runs at a backend.
 type runningItem struct {
-	*work
+	*ownedItem
 	isUrgent bool
 }
 
 // itemsToPreempt chooses which of the items at a backend are preempted.
 func (s *Service) itemsToPreempt(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
-	count := s.yielder.share(candidate, now, window)
+	count := s.preempter.share(candidate, now, window)
 	sortForPreemption(items)
 	return items[:min(count, len(items))]
 }
@@ -338,7 +338,7 @@
 	for service := range services {
 		hasFreeSlots := s.hasFreeSlots(service, now)
 		for _, candidate := range s.backends.Candidates(service, nil, now) {
-			if len(running[candidate.ID]) > 0 && s.yielder.isExcessDue(candidate, hasFreeSlots, now) {
+			if len(running[candidate.ID]) > 0 && s.preempter.isExcessDue(candidate, hasFreeSlots, now) {
 				loads = append(loads, candidate)
 			}
 		}
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -37,7 +37,7 @@
 // permit returns an error unless the item may be sent to a backend now. It is called once
 // the connection is established, before the first byte is written: the state of the job
 // may have changed since the item was placed.
-func (s *Service) permit(item *work) error {
+func (s *Service) permit(item *ownedItem) error {
 	age := s.claimsAge()
 	owner := item.owner
 	owner.mutex.Lock()
@@ -48,7 +48,7 @@
 		return permitRefused(refusedDropped, age)
 	case age > claimsAgeLimit:
 		return permitRefused(refusedOldClaims, age)
-	case s.endings.isHeld(owner.job.ID):
+	case s.cancellations.isBlocked(owner.job.ID):
 		return permitRefused(refusedEnding, age)
 	}
 	return nil
@@ -66,8 +66,8 @@
 func (s *Service) mayStartItems() bool {
 	age := s.claimsAge()
 	isOld := age > claimsAgeLimit
-	if isOld != s.claimsAreOld {
-		s.claimsAreOld = isOld
+	if isOld != s.hasStaleClaims {
+		s.hasStaleClaims = isOld
 		event := "claims_regained"
 		if isOld {
 			event = "claims_too_old"
--- a/internal/job/takeover.go
+++ b/internal/job/takeover.go
@@ -65,7 +65,7 @@
 // superviseClaims takes over jobs whose owners are gone, until the context ends.
 func (s *Service) superviseClaims(ctx context.Context) {
 	periodic.Run(ctx, superviseInterval, func() {
-		for id, orphaned := range s.orphaned(time.Now()) {
+		for id, orphaned := range s.dueOrphans(time.Now()) {
 			if s.beginTakeover(id) {
 				go s.takeOver(ctx, id, orphaned)
 			}
@@ -95,7 +95,7 @@
 	}
 	loaded, earlier, step, err := s.readOrphan(ctx, id)
 	if err == nil {
-		s.own(loaded, claimed, earlier)
+		s.startJob(loaded, claimed, earlier)
 		s.endTakeover(id, false)
 		return
 	}
