--- a/internal/job/early_end_test.go
+++ b/internal/job/early_end_test.go
@@ -14,8 +14,8 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// submitLate has a daemon submit a job whose commit comes late, until its caller leaves.
-func submitLate(t *testing.T, store *tabletest.Memory, at *daemon, submitted job.Job) {
+// submitWithLateCommit submits a job whose commit takes effect late, until the call times out.
+func submitWithLateCommit(t *testing.T, store *tabletest.Memory, at *daemon, submitted job.Job) {
 	t.Helper()
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "commit" {
@@ -23,42 +23,37 @@
 		}
 		return tabletest.FaultNone
 	})
-	bounded, cancel := context.WithTimeout(t.Context(), lastWatch)
+	bounded, cancel := context.WithTimeout(t.Context(), watchWait)
 	defer cancel()
 	require.Error(t, at.Submit(bounded, submitted))
 	store.SetDecide(nil)
 }
 
-// TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun.
-//
-// What users may see: backends run items of a job that its client ended.
-// Order of events: the store does not answer the commit of an acceptance; the client
-// leaves, and ends the job at another daemon, which finds no job and answers 404; the
-// commit takes effect; the items are sent, with nobody wanting them. Cause: an end of a
-// job that is not known yet was forgotten. Evidence: this test, before an end voided the
-// acceptances under way: 20 of 20 items were sent.
-func TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun(t *testing.T) {
-	for name, tenant := range map[string]string{"of nobody": "", "of a tenant": "acme"} {
+// TestCancelBeforeAcceptancePreventsRun: a job is canceled at another daemon before its
+// acceptance commit takes effect. Its items must not be sent. A later submission of the same
+// job is accepted.
+func TestCancelBeforeAcceptancePreventsRun(t *testing.T) {
+	for name, tenant := range map[string]string{"without a tenant": "", "of a tenant": "acme"} {
 		t.Run(name, func(t *testing.T) {
-			store, runner := tabletest.NewMemory(), newRunners()
-			owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-			requireKnown(t, store, owner, other)
+			store, fake := tabletest.NewMemory(), newFakeBackends()
+			owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+			requireFollowed(t, store, owner, other)
 			submitted := newJob("j1", 20)
 			submitted.Tenant = tenant
-			submitLate(t, store, owner, submitted)
+			submitWithLateCommit(t, store, owner, submitted)
 			require.True(t, failure.Is(other.Of(tenant).Cancel(t.Context(), "j1"), failure.KindNotFound))
 			store.Settle()
 			time.Sleep(time.Second)
-			require.Zero(t, runner.total(), "items of the ended job were sent")
+			require.Zero(t, fake.total(), "items of the canceled job were sent")
 			require.Zero(t, owner.Owned())
-			// Whoever sends the job after it was answered that there is none wants it.
+			// A submission after the answer 404 is a new one.
 			require.NoError(t, owner.Submit(t.Context(), submitted))
 			requireAllCompleted(t, owner, submitted)
 		})
 	}
 }
 
-// sometimesRefusingStore takes no commits while it refuses.
+// sometimesRefusingStore refuses commits while isRefusing is set.
 type sometimesRefusingStore struct {
 	table.Store
 	isRefusing atomic.Bool
@@ -71,34 +66,35 @@
 	return s.Store.Commit(ctx, transaction)
 }
 
-// TestSubmissionUnderWayIsRefusedByTheEndOfItsJob, as not run; one that comes later is
-// taken.
-func TestSubmissionUnderWayIsRefusedByTheEndOfItsJob(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
+// TestCancelRefusesPendingSubmission: a cancel request for a pending submission refuses it as
+// not run. A later submission is accepted.
+func TestCancelRefusesPendingSubmission(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
 	refusing := &sometimesRefusingStore{Store: store}
-	owner, other := startDaemon(t, "a", refusing, runner), startDaemon(t, "b", store, runner)
-	requireKnown(t, store, owner, other)
+	owner, other := startDaemon(t, "a", refusing, fake), startDaemon(t, "b", store, fake)
+	requireFollowed(t, store, owner, other)
 	refusing.isRefusing.Store(true)
 	submitted := newJob("j1", 20)
 	answered := make(chan error, 1)
 	go func() { answered <- owner.Submit(t.Context(), submitted) }()
-	time.Sleep(lastWatch)
-	require.True(t, failure.Is(other.End(t.Context(), "j1"), failure.KindNotFound))
+	time.Sleep(watchWait)
+	require.True(t, failure.Is(other.Cancel(t.Context(), "j1"), failure.KindNotFound))
 	refusing.isRefusing.Store(false)
 	err := <-answered
 	require.Error(t, err)
 	require.True(t, failure.From(err).NotRun, "%v", err)
-	time.Sleep(lastWatch)
-	require.Zero(t, runner.total())
+	time.Sleep(watchWait)
+	require.Zero(t, fake.total())
 	require.NoError(t, other.Submit(t.Context(), submitted))
 	requireAllCompleted(t, other, submitted)
 }
 
-// TestAcceptanceThatComesBeforeItIsVoidedIsEnded: the end goes on as that of an open job.
-func TestAcceptanceThatComesBeforeItIsVoidedIsEnded(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-	requireKnown(t, store, owner, other)
+// TestCancelAppliesToAcceptanceCommittedFirst: the acceptance is committed before the
+// cancellation voids it: the job is canceled as an open job.
+func TestCancelAppliesToAcceptanceCommittedFirst(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+	requireFollowed(t, store, owner, other)
 	var isLate atomic.Bool
 	isLate.Store(true)
 	store.SetDecide(func(call string) tabletest.Fault {
@@ -109,36 +105,37 @@
 	})
 	answered := make(chan error, 1)
 	go func() { answered <- owner.Submit(t.Context(), newJob("j1", 20)) }()
-	time.Sleep(lastWatch)
-	left, leave := context.WithTimeout(t.Context(), lastWatch)
+	time.Sleep(watchWait)
+	left, leave := context.WithTimeout(t.Context(), watchWait)
 	defer leave()
-	require.Error(t, other.End(left, "j1")) // pursued: its own commit is late
+	require.Error(t, other.Cancel(left, "j1")) // continues in the background: its own commit is late
 	isLate.Store(false)
-	store.Settle() // the acceptance goes first
+	store.Settle() // commits the acceptance first
 	require.NoError(t, <-answered)
-	require.Eventually(t, func() bool { return other.EndsUnderWay() == 0 }, patience, pollTime)
-	require.Eventually(t, func() bool { return owner.Owned() == 0 && !owner.KnowsOpen("j1") && !other.KnowsOpen("j1") }, patience, pollTime)
+	require.Eventually(t, func() bool { return other.PendingCancellations() == 0 }, testTimeout, pollInterval)
+	require.Eventually(t, func() bool { return owner.Owned() == 0 && !owner.KnowsOpen("j1") && !other.KnowsOpen("j1") }, testTimeout, pollInterval)
 }
 
-// TestEndOfAnotherTenantVoidsNoAcceptance of a submission that is under way.
-func TestEndOfAnotherTenantVoidsNoAcceptance(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
+// TestOtherTenantsCancelKeepsPendingSubmission: a cancel request of one tenant must not void
+// a pending submission of another tenant.
+func TestOtherTenantsCancelKeepsPendingSubmission(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
 	refusing := &sometimesRefusingStore{Store: store}
-	owner, other := startDaemon(t, "a", refusing, runner), startDaemon(t, "b", store, runner)
-	requireKnown(t, store, owner, other)
+	owner, other := startDaemon(t, "a", refusing, fake), startDaemon(t, "b", store, fake)
+	requireFollowed(t, store, owner, other)
 	refusing.isRefusing.Store(true)
 	submitted := newJob("j1", 20)
 	submitted.Tenant = "acme"
 	answered := make(chan error, 1)
 	go func() { answered <- owner.Submit(t.Context(), submitted) }()
-	time.Sleep(lastWatch)
+	time.Sleep(watchWait)
 	require.True(t, failure.Is(other.Of("other").Cancel(t.Context(), "j1"), failure.KindNotFound))
 	refusing.isRefusing.Store(false)
 	require.NoError(t, <-answered)
 	requireAllCompleted(t, owner, submitted)
 }
 
-// acceptanceRefusingStore takes no acceptances, and notes that one was tried.
+// acceptanceRefusingStore refuses acceptances and records the first attempt.
 type acceptanceRefusingStore struct {
 	table.Store
 	wasTried *atomic.Bool
@@ -154,20 +151,20 @@
 	return s.Store.Commit(ctx, transaction)
 }
 
-// TestReservationOfAJobThatWasEndedEarlyIsSwept: the row that voids the acceptance was
-// there before the sweeper, which must not be kept from its work by it.
-func TestReservationOfAJobThatWasEndedEarlyIsSwept(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
+// TestReservationOfEarlyCanceledJobIsSwept: the row that voids the acceptance exists before
+// the sweep; the sweep must free the reservation all the same.
+func TestReservationOfEarlyCanceledJobIsSwept(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
 	var wasTried atomic.Bool
-	owner, other := startBounded(t, "a", acceptanceRefusingStore{Store: store, wasTried: &wasTried}, runner, 0, 1000), startBounded(t, "b", store, runner, 0, 1000)
-	requireKnown(t, store, owner, other)
+	owner, other := startWithTokenLimit(t, "a", acceptanceRefusingStore{Store: store, wasTried: &wasTried}, fake, 0, 1000), startWithTokenLimit(t, "b", store, fake, 0, 1000)
+	requireFollowed(t, store, owner, other)
 	large, next := newJob("j1", 1), newJob("j2", 1)
 	large.Items[0].Tokens, next.Items[0].Tokens = 900, 900
 	go func() { _ = owner.Submit(t.Context(), large) }()
-	require.Eventually(t, wasTried.Load, patience, pollTime, "nothing is reserved")
-	require.True(t, failure.Is(other.End(t.Context(), "j1"), failure.KindNotFound))
-	owner.cancel() // nobody releases what it reserved
+	require.Eventually(t, wasTried.Load, testTimeout, pollInterval, "no acceptance was attempted")
+	require.True(t, failure.Is(other.Cancel(t.Context(), "j1"), failure.KindNotFound))
+	owner.cancel() // the reservation is not released
 	require.True(t, failure.Is(other.Submit(t.Context(), next), failure.KindOverloaded), "nothing is reserved")
-	require.Eventually(t, func() bool { return other.Submit(t.Context(), next) == nil }, patience, pollTime, "the reservation stays")
+	require.Eventually(t, func() bool { return other.Submit(t.Context(), next) == nil }, testTimeout, pollInterval, "the reservation was not swept")
 }
--- a/internal/job/export_test.go
+++ b/internal/job/export_test.go
@@ -6,33 +6,32 @@
 	"topazpulley/internal/table"
 )
 
-// RefuseUnlessAccepted refuses a job that does not fit.
+// RefuseUnlessAccepted calls refuseUnlessAccepted.
 func (s *Service) RefuseUnlessAccepted(ctx context.Context, submitted Job, refused error) error {
 	return s.refuseUnlessAccepted(ctx, submitted, refused)
 }
 
-// Followed returns the version up to which the service has heard of claims.
+// Followed returns the version up to which the service has followed the claims.
 func (s *Service) Followed() table.Version {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.followed
 }
 
-// KnowsOpen reports whether the service knows the job to be accepted and not over.
+// KnowsOpen reports whether the service knows the job as accepted and not finished.
 func (s *Service) KnowsOpen(id string) bool { return s.isOpen(id) }
 
-// EndsUnderWay returns how many ends are pursued.
-func (s *Service) EndsUnderWay() int { return len(s.endings.all()) }
+// PendingCancellations returns the number of pending cancellations.
+func (s *Service) PendingCancellations() int { return len(s.endings.all()) }
 
-// KnownGone returns how many claims are held against the copy that is followed.
-func (s *Service) KnownGone() int {
+// RemovedClaims returns the number of recorded claim removals.
+func (s *Service) RemovedClaims() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.gone)
 }
 
-// DropOlderOwnership owns a job twice in a row and lets the first ownership end
-// afterwards, as a goroutine does that was waiting for the store.
+// DropOlderOwnership owns a job twice and drops the first ownership after the second has begun.
 func DropOlderOwnership(s *Service, owned Job) error {
 	s.own(owned, versionedClaim{claim: s.newClaim(1, owned.Tenant), version: 1 << 40}, history{})
 	s.mutex.Lock()
@@ -49,11 +48,11 @@
 	return nil
 }
 
-// IsStoreAway reports whether submissions are held.
-func (s *Service) IsStoreAway() bool { return s.isStoreAway() }
+// IsStoreUnavailable reports whether submissions are buffered.
+func (s *Service) IsStoreUnavailable() bool { return s.isStoreAway() }
 
-// Held returns how many submissions are held.
-func (s *Service) Held() int { return s.held.Count() }
+// Buffered returns the number of buffered submissions.
+func (s *Service) Buffered() int { return s.held.Count() }
 
-// HoldBy has submissions held by what another store's calls tell. It is set before use.
-func (s *Service) HoldBy(availability Availability) { s.availability = availability }
+// SetAvailability sets the availability that decides on buffering. It is called before the service is used.
+func (s *Service) SetAvailability(availability Availability) { s.availability = availability }
--- a/internal/job/firstclaims_test.go
+++ b/internal/job/firstclaims_test.go
@@ -17,11 +17,11 @@
 	"topazpulley/internal/telemetry"
 )
 
-// newUnread returns a service that has not read the claims yet.
-func newUnread(readAt *boottime.Instant) *job.Service {
+// newServiceWithoutClaims returns a service that has not read the claims yet.
+func newServiceWithoutClaims(readAt *boottime.Instant) *job.Service {
 	return job.NewService(job.Dependencies{
-		Self: job.Self{Name: "a", Incarnation: 1}, Store: tabletest.NewMemory(), Backends: backend.NewSet(), Sender: newRunners(),
-		Holder: &route.Holder{}, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, SubmissionLimits: heldInTests,
+		Self: job.Self{Name: "a", Incarnation: 1}, Store: tabletest.NewMemory(), Backends: backend.NewSet(), Sender: newFakeBackends(),
+		Holder: &route.Holder{}, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: discardLogger, SubmissionLimits: testSubmissionLimits,
 		ClaimsAge: func() time.Duration {
 			if *readAt == 0 {
 				return time.Hour
@@ -31,21 +31,21 @@
 	})
 }
 
-// TestCallMeetsADaemonThatHasJustStarted: a daemon answers callers as soon as it has a
-// configuration. One that had not read the claims by then told callers of a job that there
-// is none that it did not know, and to come again; the claims came milliseconds later.
-func TestCallMeetsADaemonThatHasJustStarted(t *testing.T) {
+// TestCallWaitsForFirstClaims: a daemon that has just started waits shortly for the claims
+// before it answers that a job does not exist. If they do not come it answers within a second
+// that it is unavailable.
+func TestCallWaitsForFirstClaims(t *testing.T) {
 	for name, each := range map[string]struct {
 		claimsAfter time.Duration
 		kind        failure.Kind
 	}{
-		"the claims come soon": {claimsAfter: 20 * time.Millisecond, kind: failure.KindNotFound},
-		"the store is away":    {claimsAfter: time.Minute, kind: failure.KindUnavailable},
+		"the claims are read soon": {claimsAfter: 20 * time.Millisecond, kind: failure.KindNotFound},
+		"the store is unavailable": {claimsAfter: time.Minute, kind: failure.KindUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var readAt boottime.Instant
-				called, started := newUnread(&readAt), time.Now()
+				called, started := newServiceWithoutClaims(&readAt), time.Now()
 				timer := time.AfterFunc(each.claimsAfter, func() {
 					readAt = 1
 					called.Replace(nil, 1)
@@ -53,7 +53,7 @@
 				defer timer.Stop()
 				_, err := called.Of("").Results(t.Context(), "unknown", 0, 0)
 				require.True(t, failure.Is(err, each.kind), "%v", err)
-				require.Less(t, time.Since(started), time.Second, "callers wait for a store that is away")
+				require.Less(t, time.Since(started), time.Second, "callers wait for an unavailable store")
 			})
 		})
 	}
--- a/internal/job/fleet_test.go
+++ b/internal/job/fleet_test.go
@@ -25,44 +25,44 @@
 )
 
 const (
-	patience   = 30 * time.Second
-	pollTime   = 10 * time.Millisecond
-	itemEvents = 5
-	service    = "generator"
+	testTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
+	itemEvents   = 5
+	service      = "generator"
 )
 
-// heldInTests bounds the submissions that a daemon of a test holds.
-var heldInTests = submissionbuffer.Limits{Count: 8, Bytes: 1 << 20}
+// testSubmissionLimits limits the submissions that a daemon of a test buffers.
+var testSubmissionLimits = submissionbuffer.Limits{Count: 8, Bytes: 1 << 20}
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// runners answers items with itemEvents events each. It counts what runs.
-type runners struct {
+// fakeBackends answers each item with a number of events and counts attempts.
+type fakeBackends struct {
 	mutex sync.Mutex
 	// pause is the time between events.
 	pause time.Duration
-	// breakShare is the share of attempts that break off after two events.
+	// breakShare is the fraction of attempts that break off after two events.
 	breakShare float64
 	// status is the answer to an item by its id; 0 means success.
 	status map[string]int
 	starts map[string]int
-	// resumed is the last event behind which a run was asked to go on.
+	// resumed is the last event after which an attempt was to resume, by item.
 	resumed map[string]int64
 	// events is the number of events of an item.
 	events int64
 }
 
-func newRunners() *runners {
-	return &runners{status: map[string]int{}, starts: map[string]int{}, resumed: map[string]int64{}, events: itemEvents}
+func newFakeBackends() *fakeBackends {
+	return &fakeBackends{status: map[string]int{}, starts: map[string]int{}, resumed: map[string]int64{}, events: itemEvents}
 }
 
-func (r *runners) resumedAt(id string) int64 {
+func (r *fakeBackends) resumedAt(id string) int64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.resumed[id]
 }
 
-func (r *runners) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
+func (r *fakeBackends) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
 	if err := attempt.CheckSendable(ctx); err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	return sent, nil
 }
 
-// total is how many attempts at items came.
-func (r *runners) total() int {
+// total returns the number of attempts of all items.
+func (r *fakeBackends) total() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
@@ -91,7 +91,7 @@
 	return count
 }
 
-func (r *runners) started(id string) int {
+func (r *fakeBackends) started(id string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.starts[id]
@@ -134,8 +134,8 @@
 
 func eventData(id string, number int64) string { return fmt.Sprintf("%s-%d", id, number) }
 
-// wholeText is the text of a completed item.
-func wholeText(id string, events int64) string {
+// completeText returns the text of a completed item.
+func completeText(id string, events int64) string {
 	text := ""
 	for number := int64(1); number <= events; number++ {
 		if number > 1 {
@@ -146,28 +146,28 @@
 	return text
 }
 
-// toldEnd is an end that a daemon told another.
-type toldEnd struct {
+// removedClaim is a notification of a removed claim.
+type removedClaim struct {
 	owner, job string
 	version    table.Version
 }
 
-// livePeers tells which daemons a test has killed.
-type livePeers struct {
-	// told are the ends that were told, none of which arrives by itself.
-	told []toldEnd
-	// reached are the daemons, by name, that hear of wanted ends.
-	reached map[string]*daemon
-	mutex   sync.Mutex
-	gone    map[string]bool
-	// suspected are daemons that are not heard.
+// fakePeers is the view of other daemons, which a test controls.
+type fakePeers struct {
+	// removed are the notifications of removed claims. They are not delivered.
+	removed []removedClaim
+	// reachable are the daemons that get cancel requests, by name.
+	reachable map[string]*daemon
+	mutex     sync.Mutex
+	gone      map[string]bool
+	// suspected are the daemons that do not respond.
 	suspected map[string]bool
 	rank      int
-	// successor is who takes jobs over from this daemon.
+	// successor is the daemon that takes jobs over from this one.
 	successor string
 }
 
-func (p *livePeers) Liveness(name string, _ int64) job.Liveness {
+func (p *fakePeers) Liveness(name string, _ int64) job.Liveness {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.gone[name] {
@@ -179,96 +179,95 @@
 	return job.LivenessAlive
 }
 
-func (p *livePeers) suspect(name string) {
+func (p *fakePeers) suspect(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.suspected[name] = true
 }
 
-func (p *livePeers) Rank(string) int { return p.rank }
+func (p *fakePeers) Rank(string) int { return p.rank }
 
-func (p *livePeers) Successor(string) string { return p.successor }
+func (p *fakePeers) Successor(string) string { return p.successor }
 
-func (p *livePeers) NotifyClaimRemoved(owner, job string, version table.Version) {
+func (p *fakePeers) NotifyClaimRemoved(owner, job string, version table.Version) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.told = append(p.told, toldEnd{owner: owner, job: job, version: version})
+	p.removed = append(p.removed, removedClaim{owner: owner, job: job, version: version})
 }
 
-// NotifyCancelRequest has the owner hear of the end, if it is reached.
-func (p *livePeers) NotifyCancelRequest(owner string, wanted job.CancelRequest) {
+// NotifyCancelRequest delivers the request if the owner is reachable.
+func (p *fakePeers) NotifyCancelRequest(owner string, wanted job.CancelRequest) {
 	p.mutex.Lock()
-	told := p.reached[owner]
+	target := p.reachable[owner]
 	p.mutex.Unlock()
-	if told != nil {
-		told.HandleCancelRequest(wanted)
+	if target != nil {
+		target.HandleCancelRequest(wanted)
 	}
 }
 
-// reach has a daemon hear of wanted ends from now on.
-func (p *livePeers) reach(other *daemon) {
+// connect makes a daemon reachable for cancel requests.
+func (p *fakePeers) connect(other *daemon) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.reached == nil {
-		p.reached = map[string]*daemon{}
+	if p.reachable == nil {
+		p.reachable = map[string]*daemon{}
 	}
-	p.reached[other.name] = other
+	p.reachable[other.name] = other
 }
 
-func (p *livePeers) kill(name string) {
+func (p *fakePeers) kill(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.gone[name] = true
 }
 
-// alone is the view of a daemon that commits for itself.
-type alone struct{}
+// soleCoordinator makes each daemon the coordinator of every account.
+type soleCoordinator struct{}
 
-func (alone) Coordinator(string) (string, bool) { return "", true }
-func (alone) Apply(context.Context, string, quota.Request) (quota.Answer, error) {
+func (soleCoordinator) Coordinator(string) (string, bool) { return "", true }
+func (soleCoordinator) Apply(context.Context, string, quota.Request) (quota.Answer, error) {
 	return quota.Answer{}, context.Canceled
 }
-func (alone) Announce(string) {}
+func (soleCoordinator) Announce(string) {}
 
-// daemon is one job service with its follower.
+// daemon is a job service with its follower.
 type daemon struct {
 	*job.Service
 	name   string
 	events int64
 	cancel context.CancelFunc
-	peers  *livePeers
-	// backends is what the daemon knows of the backends.
+	peers  *fakePeers
+	// backends is the daemon's view of the backends.
 	backends *backend.Set
 }
 
-// startDaemon starts a service over the store. wrap may stand in front of the
-// store for this daemon alone.
-func startDaemon(t *testing.T, name string, store table.Store, runner *runners) *daemon {
+// startDaemon starts a service on the store.
+func startDaemon(t *testing.T, name string, store table.Store, fake *fakeBackends) *daemon {
 	t.Helper()
-	return startSettling(t, name, store, runner, 0)
+	return startWithSettlingTime(t, name, store, fake, 0)
 }
 
-// startSettling starts a service that waits so long for news of other daemons.
-func startSettling(t *testing.T, name string, store table.Store, runner *runners, settling time.Duration) *daemon {
+// startWithSettlingTime starts a service with a settling time.
+func startWithSettlingTime(t *testing.T, name string, store table.Store, fake *fakeBackends, settling time.Duration) *daemon {
 	t.Helper()
-	return startBounded(t, name, store, runner, settling, 0)
+	return startWithTokenLimit(t, name, store, fake, settling, 0)
 }
 
-// startBounded starts a service on whose route so many tokens may wait.
-func startBounded(t *testing.T, name string, store table.Store, runner *runners, settling time.Duration, limit int64) *daemon {
+// startWithTokenLimit starts a service whose route has a limit of queued tokens.
+func startWithTokenLimit(t *testing.T, name string, store table.Store, fake *fakeBackends, settling time.Duration, limit int64) *daemon {
 	t.Helper()
-	started := startSender(t, name, store, runner, settling, limit)
-	started.events = runner.events
+	started := startService(t, name, store, fake, settling, limit)
+	started.events = fake.events
 	return started
 }
 
-// startSending starts a service that sends through a sender.
-func startSending(t *testing.T, name string, store table.Store, sender serving.Sender) *daemon {
+// startWithSender starts a service with its own sender.
+func startWithSender(t *testing.T, name string, store table.Store, sender serving.Sender) *daemon {
 	t.Helper()
-	return startSender(t, name, store, sender, 0, 0)
+	return startService(t, name, store, sender, 0, 0)
 }
 
-func startSender(t *testing.T, name string, store table.Store, sender serving.Sender, settling time.Duration, limit int64) *daemon {
+func startService(t *testing.T, name string, store table.Store, sender serving.Sender, settling time.Duration, limit int64) *daemon {
 	t.Helper()
 	backends := backend.NewSet()
 	backends.Put(backend.Instance{ID: "one", Service: service, Slots: 100})
@@ -277,15 +276,15 @@
 		Name: "jobs", Host: "host.example", Prefix: "/jobs/", Kind: route.KindJob, MaxAttempts: 3, MaxQueuedTokens: limit,
 		Targets: []route.Target{{Service: service, Weight: 1}},
 	}}}, time.Now())
-	started := &daemon{name: name, peers: &livePeers{gone: map[string]bool{}, suspected: map[string]bool{}}, backends: backends}
+	started := &daemon{name: name, peers: &fakePeers{gone: map[string]bool{}, suspected: map[string]bool{}}, backends: backends}
 	availability := table.NewAvailability(store, job.ClaimTable)
 	monotonic := table.NewMonotonic(availability)
-	follower := &table.Follower{Store: monotonic, Logger: quiet, Wait: 100 * time.Millisecond, Partitioned: true}
-	accounts := quota.NewAccounts(monotonic, alone{}, telemetry.NewQuota(prometheus.NewRegistry()), quiet)
+	follower := &table.Follower{Store: monotonic, Logger: discardLogger, Wait: 100 * time.Millisecond, Partitioned: true}
+	accounts := quota.NewAccounts(monotonic, soleCoordinator{}, telemetry.NewQuota(prometheus.NewRegistry()), discardLogger)
 	started.Service = job.NewService(job.Dependencies{
 		Self: job.Self{Name: name, Incarnation: 1}, Store: monotonic, Backends: backends, Sender: sender, Holder: holder,
-		Peers: started.peers, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: quiet, Connections: func(string) int { return 100 }, SettlingTime: settling, Quota: accounts,
-		ClaimsAge: follower.Age, Availability: availability, SubmissionLimits: heldInTests,
+		Peers: started.peers, Metrics: telemetry.NewServing(prometheus.NewRegistry()), Logger: discardLogger, Connections: func(string) int { return 100 }, SettlingTime: settling, Quota: accounts,
+		ClaimsAge: follower.Age, Availability: availability, SubmissionLimits: testSubmissionLimits,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	started.cancel = cancel
@@ -296,8 +295,8 @@
 	return started
 }
 
-// End ends a job that belongs to no tenant.
-func (d *daemon) End(ctx context.Context, id string) error { return d.Of("").Cancel(ctx, id) }
+// Cancel cancels a job that belongs to no tenant.
+func (d *daemon) Cancel(ctx context.Context, id string) error { return d.Of("").Cancel(ctx, id) }
 
 func newJob(id string, items int) job.Job {
 	made := job.Job{ID: id, Host: "host.example", SubmittedAt: time.Now(), Due: 20 * time.Second}
@@ -307,8 +306,7 @@
 	return made
 }
 
-// allResults reads a job from the start until nothing more is listed. A page
-// that cannot be read is asked for again: an error is no answer.
+// allResults reads a job page by page until no more results are listed. It retries unavailable pages.
 func allResults(t *testing.T, reader *daemon, id string) ([]job.Result, int) {
 	t.Helper()
 	all := []job.Result{}
@@ -325,23 +323,23 @@
 	}
 }
 
-// requireAllCompleted waits until every item of a job is listed and checks
-// that each stands there once and whole.
+// requireAllCompleted waits until every item of a job is listed, and requires that each is listed once and
+// complete, and that listed results do not change.
 func requireAllCompleted(t *testing.T, reader *daemon, accepted job.Job) {
 	t.Helper()
 	listed := []job.Result{}
 	require.Eventually(t, func() bool {
 		found, total := allResults(t, reader, accepted.ID)
-		require.GreaterOrEqual(t, len(found), len(listed), "a result is gone")
+		require.GreaterOrEqual(t, len(found), len(listed), "a result is missing")
 		require.Equal(t, listed, found[:len(listed)], "a position changed")
 		listed = found
 		return total == len(accepted.Items) && len(listed) == total
-	}, patience, pollTime)
+	}, testTimeout, pollInterval)
 	seen := map[string]bool{}
 	for _, result := range listed {
-		require.False(t, seen[result.Item], "item %s stands twice", result.Item)
+		require.False(t, seen[result.Item], "item %s is listed twice", result.Item)
 		seen[result.Item] = true
 		require.Equal(t, job.StateCompleted, result.State)
-		require.Equal(t, wholeText(result.Item, reader.events), result.Text)
+		require.Equal(t, completeText(result.Item, reader.events), result.Text)
 	}
 }
--- a/internal/job/handover_test.go
+++ b/internal/job/handover_test.go
@@ -13,7 +13,7 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// throttleCommits has a store turn all commits away.
+// throttleCommits throttles all commits.
 func throttleCommits(call string) tabletest.Fault {
 	if call == "commit" {
 		return tabletest.FaultThrottle
@@ -21,205 +21,200 @@
 	return tabletest.FaultNone
 }
 
-// endAndLeave asks a daemon for the end of a tenant's job without waiting for it.
-func endAndLeave(t *testing.T, at *daemon, tenant, id string) {
+// cancelWithoutWaiting sends a cancel request without waiting for the answer.
+func cancelWithoutWaiting(t *testing.T, at *daemon, tenant, id string) {
 	t.Helper()
 	left, leave := context.WithCancel(t.Context())
 	leave()
 	require.Error(t, at.Of(tenant).Cancel(left, id))
 }
 
-// kill ends a daemon, and waits until it calls the store no more for ends.
+// kill stops a daemon without releasing its jobs and waits for its pending cancellations.
 func (d *daemon) kill(t *testing.T) {
 	t.Helper()
 	d.cancel()
 	d.AwaitCancellations(t.Context())
 }
 
-// requireKnown waits until a daemon has heard of all claims.
-func requireKnown(t *testing.T, store *tabletest.Memory, daemons ...*daemon) {
+// requireFollowed waits until the daemons have followed all claims.
+func requireFollowed(t *testing.T, store *tabletest.Memory, daemons ...*daemon) {
 	t.Helper()
 	for _, each := range daemons {
-		require.Eventually(t, func() bool { return each.Followed() >= store.Version() }, patience, pollTime)
+		require.Eventually(t, func() bool { return each.Followed() >= store.Version() }, testTimeout, pollInterval)
 	}
 }
 
-// TestOwnerPursuesTheEndThatADaemonTookAndDied.
-//
-// What users may see: backends run items of jobs that their clients ended.
-// Order of events: the store turns commits away; a client ends a job at a daemon that
-// does not own it; that daemon is killed; the store serves again; there is room, and the
-// owner, which has heard of nothing, sends the items. Cause: an end lived in the memory
-// of the daemon that took it. Evidence: this test, before the owner was told of ends
-// that are not done yet: 100 of 100 waiting items were sent.
-func TestOwnerPursuesTheEndThatADaemonTookAndDied(t *testing.T) {
-	for name, tenant := range map[string]string{"by a caller without a name": "", "by a tenant": "acme"} {
+// TestOwnerContinuesCancelAfterReceiverStops: the daemon that received a cancel request stops
+// while the store throttles commits. The owner must complete the cancellation and send no
+// items.
+func TestOwnerContinuesCancelAfterReceiverStops(t *testing.T) {
+	for name, tenant := range map[string]string{"by a caller without a tenant": "", "by a tenant": "acme"} {
 		t.Run(name, func(t *testing.T) {
-			store, runner := tabletest.NewMemory(), newRunners()
-			runner.pause = time.Minute
-			owner, taker := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-			taker.peers.reach(owner)
-			owner.backends.Put(room(0))
+			store, fake := tabletest.NewMemory(), newFakeBackends()
+			fake.pause = time.Minute
+			owner, receiver := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+			receiver.peers.connect(owner)
+			owner.backends.Put(backendWithSlots(0))
 			accepted := newJob("j1", 100)
 			accepted.Tenant = tenant
 			require.NoError(t, owner.Submit(t.Context(), accepted))
-			requireKnown(t, store, owner, taker)
+			requireFollowed(t, store, owner, receiver)
 			store.SetDecide(throttleCommits)
-			endAndLeave(t, taker, tenant, "j1")
-			time.Sleep(lastWatch) // the end is taken, and turned away
-			taker.kill(t)
+			cancelWithoutWaiting(t, receiver, tenant, "j1")
+			time.Sleep(watchWait) // the cancel request is received and throttled
+			receiver.kill(t)
 			store.SetDecide(nil)
-			owner.backends.Put(room(100))
+			owner.backends.Put(backendWithSlots(100))
 			time.Sleep(cancelTime)
-			assert.Zero(t, runner.total(), "items of the ended job were sent")
-			require.Eventually(t, func() bool { return owner.Owned() == 0 }, patience, pollTime, "the job goes on")
-			require.Zero(t, runner.total())
+			assert.Zero(t, fake.total(), "items of the canceled job were sent")
+			require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+			require.Zero(t, fake.total())
 		})
 	}
 }
 
-// refusingStore takes no commits.
+// refusingStore throttles all commits.
 type refusingStore struct{ table.Store }
 
 func (refusingStore) Commit(context.Context, table.Transaction) (table.Version, error) {
 	return 0, &table.Error{Kind: table.ErrorThrottled, Call: "commit"}
 }
 
-// TestNextOwnerIsToldOfAWantedEnd: the owner was told, or not, and dies; another daemon
-// takes the job over, and ends it for the one that cannot.
-func TestNextOwnerIsToldOfAWantedEnd(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner, next := startDaemon(t, "a", store, runner), startDaemon(t, "c", store, runner)
-	taker := startDaemon(t, "b", refusingStore{Store: store}, runner)
-	taker.peers.reach(next)
+// TestCancelRequestReachesNextOwner: the receiver cannot commit and the owner stops: the
+// daemon that takes the job over must get the cancel request.
+func TestCancelRequestReachesNextOwner(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner, next := startDaemon(t, "a", store, fake), startDaemon(t, "c", store, fake)
+	receiver := startDaemon(t, "b", refusingStore{Store: store}, fake)
+	receiver.peers.connect(next)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
-	requireKnown(t, store, taker, next)
-	endAndLeave(t, taker, "", "j1")
+	requireFollowed(t, store, receiver, next)
+	cancelWithoutWaiting(t, receiver, "", "j1")
 	owner.kill(t)
 	next.peers.kill("a")
-	require.Eventually(t, func() bool { return next.Owned() == 1 }, patience, pollTime, "the job was not taken over")
-	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, patience, pollTime, "the job goes on")
+	require.Eventually(t, func() bool { return next.Owned() == 1 }, testTimeout, pollInterval, "the job was not taken over")
+	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
 }
 
-// TestTakerPursuesAnEndWhoseOwnerDied: the owner was told, and dies.
-func TestTakerPursuesAnEndWhoseOwnerDied(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner, taker := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-	taker.peers.reach(owner)
+// TestReceiverContinuesCancelAfterOwnerStops: the receiver completes a cancellation when the
+// notified owner stops.
+func TestReceiverContinuesCancelAfterOwnerStops(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner, receiver := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+	receiver.peers.connect(owner)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
-	requireKnown(t, store, owner, taker)
+	requireFollowed(t, store, owner, receiver)
 	store.SetDecide(throttleCommits)
-	endAndLeave(t, taker, "", "j1")
-	time.Sleep(lastWatch)
+	cancelWithoutWaiting(t, receiver, "", "j1")
+	time.Sleep(watchWait)
 	owner.kill(t)
 	store.SetDecide(nil)
-	require.Eventually(t, func() bool { return !taker.KnowsOpen("j1") }, patience, pollTime, "the job goes on")
+	require.Eventually(t, func() bool { return !receiver.KnowsOpen("j1") }, testTimeout, pollInterval, "the job was not canceled")
 }
 
-// TestEndOutlivesTheOwnerThatTookIt: the owner itself takes the end and dies. Before the
-// daemon was told that takes the job over, it sent 100 of 100 items.
-func TestEndOutlivesTheOwnerThatTookIt(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner, next := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-	owner.peers.reach(next)
+// TestCancelAtOwnerContinuesAfterOwnerStops: the owner receives a cancel request and stops.
+// Its successor must cancel the job and send no items.
+func TestCancelAtOwnerContinuesAfterOwnerStops(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner, next := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+	owner.peers.connect(next)
 	owner.peers.successor = "b"
-	owner.backends.Put(room(0))
+	owner.backends.Put(backendWithSlots(0))
 	accepted := newJob("j1", 100)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	requireKnown(t, store, owner, next)
+	requireFollowed(t, store, owner, next)
 	store.SetDecide(throttleCommits)
-	endAndLeave(t, owner, "", "j1")
-	time.Sleep(lastWatch) // the end is taken, and turned away
+	cancelWithoutWaiting(t, owner, "", "j1")
+	time.Sleep(watchWait) // the cancel request is received and throttled
 	owner.kill(t)
 	next.peers.kill("a")
 	store.SetDecide(nil)
 	time.Sleep(cancelTime)
-	assert.Zero(t, runner.total(), "items of the ended job were sent")
-	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, patience, pollTime, "the job goes on")
+	assert.Zero(t, fake.total(), "items of the canceled job were sent")
+	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
 }
 
-// TestWantedEndOfAnotherTenantIsNotHeard: neither where it is taken nor by the owner.
-func TestWantedEndOfAnotherTenantIsNotHeard(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner, taker := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
-	owner.backends.Put(room(0))
+// TestCancelRequestOfOtherTenantIsIgnored: both the receiver and the owner ignore a cancel
+// request of another tenant.
+func TestCancelRequestOfOtherTenantIsIgnored(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner, receiver := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
+	owner.backends.Put(backendWithSlots(0))
 	accepted := newJob("j1", 20)
 	accepted.Tenant = "acme"
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	requireKnown(t, store, owner, taker)
-	taker.peers.reach(owner)
-	require.Error(t, taker.Of("other").Cancel(t.Context(), "j1"))
-	require.Zero(t, owner.EndsUnderWay(), "the end was told")
+	requireFollowed(t, store, owner, receiver)
+	receiver.peers.connect(owner)
+	require.Error(t, receiver.Of("other").Cancel(t.Context(), "j1"))
+	require.Zero(t, owner.PendingCancellations(), "the cancel request was forwarded")
 	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Tenant: "other", Remaining: time.Minute})
-	owner.backends.Put(room(100))
-	require.Eventually(t, func() bool { return runner.total() == 20 }, patience, pollTime, "items were held for another tenant")
-	require.Eventually(t, func() bool { return owner.EndsUnderWay() == 0 }, patience, pollTime)
+	owner.backends.Put(backendWithSlots(100))
+	require.Eventually(t, func() bool { return fake.total() == 20 }, testTimeout, pollInterval, "items were stopped by another tenant")
+	require.Eventually(t, func() bool { return owner.PendingCancellations() == 0 }, testTimeout, pollInterval)
 	require.Equal(t, 1, owner.Owned())
 }
 
-// TestWantedEndLastsNoLongerThanWhereItWasTaken: ends that are told on would otherwise
-// be pursued without end by daemons that tell each other.
-func TestWantedEndLastsNoLongerThanWhereItWasTaken(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner := startDaemon(t, "a", store, runner)
+// TestForwardedCancelRequestExpires: a forwarded cancel request expires after its remaining
+// time. Otherwise daemons could forward it to each other forever.
+func TestForwardedCancelRequestExpires(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner := startDaemon(t, "a", store, fake)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
 	store.SetDecide(throttleCommits)
 	owner.HandleCancelRequest(job.CancelRequest{Job: "j1"})
-	require.Zero(t, owner.EndsUnderWay(), "an end whose time is over was taken")
+	require.Zero(t, owner.PendingCancellations(), "an expired cancel request was accepted")
 	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Remaining: 2 * time.Second})
-	require.Equal(t, 1, owner.EndsUnderWay())
-	require.Eventually(t, func() bool { return owner.EndsUnderWay() == 0 }, patience, pollTime)
+	require.Equal(t, 1, owner.PendingCancellations())
+	require.Eventually(t, func() bool { return owner.PendingCancellations() == 0 }, testTimeout, pollInterval)
 	store.SetDecide(nil)
-	require.Equal(t, 1, owner.Owned(), "the end went on")
+	require.Equal(t, 1, owner.Owned(), "the expired request took effect")
 }
 
-// TestCallerOfAnEndThatWasToldIsAnswered: who ends the same job at its owner has the
-// owner call the store at once.
-func TestCallerOfAnEndThatWasToldIsAnswered(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner := startDaemon(t, "a", store, runner)
+// TestCancelAtOwnerSucceedsAfterForwardedRequest: a cancel call at the owner succeeds while a
+// forwarded request for the same job is pending.
+func TestCancelAtOwnerSucceedsAfterForwardedRequest(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner := startDaemon(t, "a", store, fake)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
 	owner.HandleCancelRequest(job.CancelRequest{Job: "j1", Remaining: time.Minute})
-	require.NoError(t, owner.End(t.Context(), "j1"))
+	require.NoError(t, owner.Cancel(t.Context(), "j1"))
 	require.Zero(t, owner.Owned())
 }
 
-// cutOffStore serves nothing.
-type cutOffStore struct{ table.Store }
+// unreachableStore cannot be reached.
+type unreachableStore struct{ table.Store }
 
-func (cutOffStore) Read(context.Context, table.Range) (table.Page, error) {
+func (unreachableStore) Read(context.Context, table.Range) (table.Page, error) {
 	return table.Page{}, &table.Error{Kind: table.ErrorUnknown, Call: "read"}
 }
 
-func (cutOffStore) Watch(ctx context.Context, _ string, _ table.Version, _ time.Duration) (table.Changes, error) {
-	return watchInVain(ctx)
+func (unreachableStore) Watch(ctx context.Context, _ string, _ table.Version, _ time.Duration) (table.Changes, error) {
+	return blockWatch(ctx)
 }
 
-func (cutOffStore) Commit(context.Context, table.Transaction) (table.Version, error) {
+func (unreachableStore) Commit(context.Context, table.Transaction) (table.Version, error) {
 	return 0, &table.Error{Kind: table.ErrorUnknown, Call: "commit"}
 }
 
-// TestEndOfAJobThatIsNotKnownYetOutlivesItsTaker: a client ends a job some milliseconds
-// after its acceptance, at a daemon that has not heard of the job and cannot reach the
-// store, and that is killed. It did not know whom to tell, and the job ran on: three times
-// in three, for up to 39 s, in a play of five daemons as processes.
-func TestEndOfAJobThatIsNotKnownYetOutlivesItsTaker(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner, next := startDaemon(t, "a", store, runner), startDaemon(t, "c", store, runner)
-	taker := startDaemon(t, "b", cutOffStore{Store: store}, runner)
-	taker.peers.reach(next)
-	taker.peers.successor = "c"
+// TestCancelOfUnknownJobContinuesAfterReceiverStops: the receiver has not seen the job,
+// cannot reach the store and stops. Another daemon must complete the cancellation.
+func TestCancelOfUnknownJobContinuesAfterReceiverStops(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner, next := startDaemon(t, "a", store, fake), startDaemon(t, "c", store, fake)
+	receiver := startDaemon(t, "b", unreachableStore{Store: store}, fake)
+	receiver.peers.connect(next)
+	receiver.peers.successor = "c"
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 20)))
-	requireKnown(t, store, next)
-	endAndLeave(t, taker, "", "j1")
-	time.Sleep(lastWatch)
-	taker.kill(t)
-	require.Eventually(t, func() bool { return owner.Owned() == 0 }, patience, pollTime, "the job goes on")
+	requireFollowed(t, store, next)
+	cancelWithoutWaiting(t, receiver, "", "j1")
+	time.Sleep(watchWait)
+	receiver.kill(t)
+	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
 }
--- a/internal/job/held_end_test.go
+++ b/internal/job/held_end_test.go
@@ -13,92 +13,93 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// severedStore is a store that one daemon alone does not reach while it is severed.
-type severedStore struct {
+// disconnectedStore fails all calls while isDisconnected is set.
+type disconnectedStore struct {
 	table.Store
-	isSevered atomic.Bool
+	isDisconnected atomic.Bool
 }
 
-// errSevered is the failure of calls meanwhile.
-var errSevered = &table.Error{Kind: table.ErrorNotDone, Call: "severed"}
+// errDisconnected is the error of a call while the store is disconnected.
+var errDisconnected = &table.Error{Kind: table.ErrorNotDone, Call: "severed"}
 
 // Commit implements table.Store.
-func (s *severedStore) Commit(ctx context.Context, transaction table.Transaction) (table.Version, error) {
-	if s.isSevered.Load() {
-		return 0, errSevered
+func (s *disconnectedStore) Commit(ctx context.Context, transaction table.Transaction) (table.Version, error) {
+	if s.isDisconnected.Load() {
+		return 0, errDisconnected
 	}
 	return s.Store.Commit(ctx, transaction)
 }
 
 // Read implements table.Store.
-func (s *severedStore) Read(ctx context.Context, wanted table.Range) (table.Page, error) {
-	if s.isSevered.Load() {
-		return table.Page{}, errSevered
+func (s *disconnectedStore) Read(ctx context.Context, wanted table.Range) (table.Page, error) {
+	if s.isDisconnected.Load() {
+		return table.Page{}, errDisconnected
 	}
 	return s.Store.Read(ctx, wanted)
 }
 
 // Partitions implements table.Store.
-func (s *severedStore) Partitions(ctx context.Context, name, after string) ([]string, bool, error) {
-	if s.isSevered.Load() {
-		return nil, false, errSevered
+func (s *disconnectedStore) Partitions(ctx context.Context, name, after string) ([]string, bool, error) {
+	if s.isDisconnected.Load() {
+		return nil, false, errDisconnected
 	}
 	return s.Store.Partitions(ctx, name, after)
 }
 
 // Watch implements table.Store.
-func (s *severedStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
-	if s.isSevered.Load() {
-		return table.Changes{}, errSevered
+func (s *disconnectedStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+	if s.isDisconnected.Load() {
+		return table.Changes{}, errDisconnected
 	}
 	return s.Store.Watch(ctx, name, after, wait)
 }
 
-// TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun: its caller ends it at a daemon
-// that reaches the store, while another, which does not, holds the submission, whether or
-// not it has tried before.
-func TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun(t *testing.T) {
-	for name, isAwayFirst := range map[string]bool{"held at once": true, "tried, then held": false} {
+// TestCanceledBufferedSubmissionDoesNotRun: a job is canceled at one daemon while another one
+// that cannot reach the store buffers its submission, before or after a first attempt. The
+// job must not run.
+func TestCanceledBufferedSubmissionDoesNotRun(t *testing.T) {
+	for name, isUnavailableFirst := range map[string]bool{"buffered at once": true, "tried, then buffered": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const items = 20
-			store, runner := tabletest.NewMemory(), newRunners()
-			severed := &severedStore{Store: store}
-			owner, other := startDaemon(t, "a", severed, runner), startDaemon(t, "b", store, runner)
-			requireKnown(t, store, owner, other)
-			severed.isSevered.Store(true)
-			if isAwayFirst {
-				awaitAway(t, owner)
+			store, fake := tabletest.NewMemory(), newFakeBackends()
+			disconnected := &disconnectedStore{Store: store}
+			owner, other := startDaemon(t, "a", disconnected, fake), startDaemon(t, "b", store, fake)
+			requireFollowed(t, store, owner, other)
+			disconnected.isDisconnected.Store(true)
+			if isUnavailableFirst {
+				awaitUnavailable(t, owner)
 			}
 			answered := make(chan error, 1)
 			go func() {
-				bounded, cancel := context.WithTimeout(t.Context(), patience)
+				bounded, cancel := context.WithTimeout(t.Context(), testTimeout)
 				defer cancel()
 				answered <- owner.Submit(bounded, newJob("j1", items))
 			}()
-			require.Eventually(t, func() bool { return owner.Held() == 1 }, patience, pollTime)
-			require.Error(t, other.End(t.Context(), "j1"), "the job is not known yet")
-			severed.isSevered.Store(false)
+			require.Eventually(t, func() bool { return owner.Buffered() == 1 }, testTimeout, pollInterval)
+			require.Error(t, other.Cancel(t.Context(), "j1"), "an unknown job was canceled")
+			disconnected.isDisconnected.Store(false)
 			require.Error(t, <-answered)
 			time.Sleep(500 * time.Millisecond)
-			require.Zero(t, runner.total())
+			require.Zero(t, fake.total())
 		})
 	}
 }
 
-// TestHeldSubmissionsEndWithTheirDaemon: one that stops tells their callers, as not run.
-func TestHeldSubmissionsEndWithTheirDaemon(t *testing.T) {
-	severed := &severedStore{Store: tabletest.NewMemory()}
-	owner := startDaemon(t, "a", severed, newRunners())
-	severed.isSevered.Store(true)
-	awaitAway(t, owner)
+// TestStopFailsBufferedSubmissions: a daemon that stops fails its buffered submissions as not
+// run.
+func TestStopFailsBufferedSubmissions(t *testing.T) {
+	disconnected := &disconnectedStore{Store: tabletest.NewMemory()}
+	owner := startDaemon(t, "a", disconnected, newFakeBackends())
+	disconnected.isDisconnected.Store(true)
+	awaitUnavailable(t, owner)
 	answered := make(chan error, 1)
 	go func() {
 		bounded, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		answered <- owner.Submit(bounded, newJob("j1", 1))
 	}()
-	require.Eventually(t, func() bool { return owner.Held() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.Buffered() == 1 }, testTimeout, pollInterval)
 	stopping, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	owner.Stop(stopping)
@@ -107,7 +108,7 @@
 		var failed *failure.Error
 		require.ErrorAs(t, err, &failed)
 		require.True(t, failed.NotRun)
-	case <-time.After(patience):
-		require.Fail(t, "the submission is held on")
+	case <-time.After(testTimeout):
+		require.Fail(t, "the submission is still buffered")
 	}
 }
--- a/internal/job/held_test.go
+++ b/internal/job/held_test.go
@@ -16,11 +16,10 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// callerTime is how long the callers of these tests wait at least.
-const callerTime = 5 * time.Second
+// callerTimeout is the timeout of the submissions of a test.
+const callerTimeout = 5 * time.Second
 
-// outage is a store that is away until it is told to return, and the calls that came
-// meanwhile.
+// outage makes a store unavailable and counts commit calls.
 type outage struct {
 	store   *tabletest.Memory
 	commits atomic.Int64
@@ -39,20 +38,20 @@
 
 func (o *outage) end() { o.store.SetDecide(nil) }
 
-// awaitAway waits until a daemon knows that the store is away.
-func awaitAway(t *testing.T, daemons ...*daemon) {
+// awaitUnavailable waits until the daemons have detected the outage.
+func awaitUnavailable(t *testing.T, daemons ...*daemon) {
 	t.Helper()
 	for _, each := range daemons {
-		require.Eventually(t, each.IsStoreAway, patience, pollTime)
+		require.Eventually(t, each.IsStoreUnavailable, testTimeout, pollInterval)
 	}
 }
 
-// submitAll submits a job to each daemon, with callers who wait for callerTime.
+// submitAll submits a job to each daemon with a timeout of callerTimeout.
 func submitAll(t *testing.T, daemons []*daemon, prefix string) *sync.WaitGroup {
 	group := &sync.WaitGroup{}
 	for number, each := range daemons {
 		group.Go(func() {
-			ctx, cancel := context.WithTimeout(t.Context(), callerTime)
+			ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 			defer cancel()
 			if err := each.Submit(ctx, sizedJob(fmt.Sprint(prefix, number), 1)); err != nil {
 				t.Errorf("job %d: %v", number, err)
@@ -62,100 +61,101 @@
 	return group
 }
 
-// TestJobsOfAnOutageAreAcceptedBehindIt: the store is away for two of the five seconds
-// that callers wait. Nothing is committed meanwhile, and all are accepted soon: the
-// daemons neither tried on one beside the other nor came all at once.
-func TestJobsOfAnOutageAreAcceptedBehindIt(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
+// TestBufferedJobsAreAcceptedAfterOutage: during a store outage shorter than the callers'
+// timeouts nothing is committed. All buffered jobs are accepted within two seconds after it.
+func TestBufferedJobsAreAcceptedAfterOutage(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
 	daemons := []*daemon{}
 	for number := range 12 {
-		daemons = append(daemons, startBounded(t, fmt.Sprint("d", number), store, runner, 0, 1000))
+		daemons = append(daemons, startWithTokenLimit(t, fmt.Sprint("d", number), store, fake, 0, 1000))
 	}
 	away := startOutage(store)
-	awaitAway(t, daemons...)
+	awaitUnavailable(t, daemons...)
 	group := submitAll(t, daemons, "j")
 	time.Sleep(2 * time.Second)
-	require.Zero(t, away.commits.Load(), "held submissions were tried")
+	require.Zero(t, away.commits.Load(), "buffered submissions were committed")
 	away.end()
 	returned := time.Now()
 	group.Wait()
 	require.Less(t, time.Since(returned), 2*time.Second)
 }
 
-// TestHeldSubmissionEndsWithItsCaller: it takes no memory any more, and nothing of it
-// comes to exist.
-func TestHeldSubmissionEndsWithItsCaller(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestBufferedSubmissionEndsWithCaller: a buffered submission whose caller leaves is removed
+// from the buffer, and its job does not exist afterwards.
+func TestBufferedSubmissionEndsWithCaller(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	away := startOutage(store)
-	awaitAway(t, owner)
+	awaitUnavailable(t, owner)
 	ctx, leave := context.WithCancel(t.Context())
 	answered := make(chan error, 1)
 	go func() { answered <- owner.Submit(ctx, newJob("j1", 5)) }()
-	require.Eventually(t, func() bool { return owner.Held() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.Buffered() == 1 }, testTimeout, pollInterval)
 	leave()
 	require.True(t, failure.From(<-answered).NotRun)
-	require.Zero(t, owner.Held())
+	require.Zero(t, owner.Buffered())
 	away.end()
-	require.Eventually(t, func() bool { return !owner.IsStoreAway() }, patience, pollTime)
+	require.Eventually(t, func() bool { return !owner.IsStoreUnavailable() }, testTimeout, pollInterval)
 	_, err := owner.Results(t.Context(), "j1", 0, 0)
 	require.True(t, failure.Is(err, failure.KindNotFound), "%v", err)
 }
 
-// TestWhoCannotBeHeldIsToldAtOnce, and when to come back.
-func TestWhoCannotBeHeldIsToldAtOnce(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestTooLargeSubmissionFailsAtOnceInOutage: a submission that does not fit the buffer fails
+// at once, with a time to retry after.
+func TestTooLargeSubmissionFailsAtOnceInOutage(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	startOutage(store)
-	awaitAway(t, owner)
+	awaitUnavailable(t, owner)
 	large := newJob("large", 1)
-	large.Items[0].Body = make([]byte, heldInTests.Bytes)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	large.Items[0].Body = make([]byte, testSubmissionLimits.Bytes)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	started := time.Now()
 	err := owner.Submit(ctx, large)
-	require.Less(t, time.Since(started), patience/10)
+	require.Less(t, time.Since(started), testTimeout/10)
 	require.True(t, failure.From(err).NotRun)
 	require.GreaterOrEqual(t, failure.From(err).RetryAfter, 500*time.Millisecond)
 }
 
-// TestLargeSubmissionBehindAnUnnoticedReturn: a daemon that made no call to the store
-// since it was back took it for away, and refused jobs that are too large to be held.
-func TestLargeSubmissionBehindAnUnnoticedReturn(t *testing.T) {
+// TestLargeSubmissionAcceptedAfterStoreRecovery: a daemon that has made no store call since
+// the store recovered must accept a job that is too large to be buffered.
+func TestLargeSubmissionAcceptedAfterStoreRecovery(t *testing.T) {
 	refused := tabletest.NewMemory()
 	availability := table.NewAvailability(refused, job.ClaimTable)
 	refused.SetDecide(func(string) tabletest.Fault { return tabletest.FaultRefuse })
-	started := startSender(t, "a", tabletest.NewMemory(), newRunners(), 0, 0)
-	started.HoldBy(availability)
+	started := startService(t, "a", tabletest.NewMemory(), newFakeBackends(), 0, 0)
+	started.SetAvailability(availability)
 	for range 3 {
 		_, err := availability.Read(t.Context(), table.Range{Table: job.ClaimTable, Limit: 1})
 		require.Error(t, err)
 	}
-	require.True(t, started.IsStoreAway())
+	require.True(t, started.IsStoreUnavailable())
 	large := newJob("large", 1)
-	large.Items[0].Body = make([]byte, 2*heldInTests.Bytes)
-	require.True(t, failure.Is(started.Submit(t.Context(), large), failure.KindUnavailable), "the store is away")
+	large.Items[0].Body = make([]byte, 2*testSubmissionLimits.Bytes)
+	require.True(t, failure.Is(started.Submit(t.Context(), large), failure.KindUnavailable), "the store is unavailable")
 	refused.SetDecide(nil)
-	require.Eventually(t, func() bool { return started.Submit(t.Context(), large) == nil }, patience, 10*pollTime)
+	require.Eventually(t, func() bool { return started.Submit(t.Context(), large) == nil }, testTimeout, 10*pollInterval)
 }
 
-// TestKnownJobIsAcknowledgedInAnOutage: it needs no store.
-func TestKnownJobIsAcknowledgedInAnOutage(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner := startDaemon(t, "a", store, runner)
+// TestKnownJobIsAcknowledgedInOutage: a known job is acknowledged without the store.
+func TestKnownJobIsAcknowledgedInOutage(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 5)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	startOutage(store)
-	awaitAway(t, owner)
+	awaitUnavailable(t, owner)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 }
 
-// TestUnsettledAcceptanceIsHeldAndNeverPromisedNotRun: the store loses an answer and is
-// away then. Its caller's time ends while the submission is held.
-func TestUnsettledAcceptanceIsHeldAndNeverPromisedNotRun(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestBufferedUnsettledAcceptanceIsNotReportedNotRun: the reply to the acceptance is lost and
+// the store becomes unavailable. The caller times out while the submission is buffered; the
+// failure must not say that the job did not run.
+func TestBufferedUnsettledAcceptanceIsNotReportedNotRun(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	commits := 0
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "commit" {
@@ -174,8 +174,8 @@
 	submitted := newJob("j1", 5)
 	err := owner.Submit(ctx, submitted)
 	require.Error(t, err)
-	require.True(t, owner.IsStoreAway())
-	require.False(t, failure.From(err).NotRun, "promised not run although the job may come to exist")
+	require.True(t, owner.IsStoreUnavailable())
+	require.False(t, failure.From(err).NotRun, "reported as not run although the job may be accepted")
 	store.SetDecide(nil)
 	store.Settle()
 	requireAllCompleted(t, owner, submitted)
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -12,11 +12,10 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// TestEveryItemCompletesOnce: a job is read at another daemon than the one
-// that runs it.
+// TestEveryItemCompletesOnce: another daemon than the owner lists the results of a job.
 func TestEveryItemCompletesOnce(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner, reader := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner, reader := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireAllCompleted(t, reader, accepted)
@@ -27,52 +26,53 @@
 	require.True(t, failure.Is(err, failure.KindNotFound))
 }
 
-// TestBrokenItemsGoOnBehindTheirLastEvent: the text is whole although runs
+// TestInterruptedItemsResumeAfterLastEvent: the text of an item is complete although runs
 // break off.
-func TestBrokenItemsGoOnBehindTheirLastEvent(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.breakShare = 0.5
-	owner := startDaemon(t, "a", store, runner)
+func TestInterruptedItemsResumeAfterLastEvent(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.breakShare = 0.5
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 10)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestResentJobIsTakenOnce: at any daemon, during and after the first run.
-func TestResentJobIsTakenOnce(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	first, second := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestResubmittedJobRunsOnce: a job is submitted again at another daemon, during and after
+// its run.
+func TestResubmittedJobRunsOnce(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	first, second := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 5)
 	require.NoError(t, first.Submit(t.Context(), accepted))
 	require.NoError(t, second.Submit(t.Context(), accepted))
 	requireAllCompleted(t, second, accepted)
 	require.NoError(t, second.Submit(t.Context(), accepted))
 	for _, item := range accepted.Items {
-		require.Equal(t, 1, runner.started(item.ID))
+		require.Equal(t, 1, fake.started(item.ID))
 	}
 }
 
-// TestEndedJobStops: no item is sent once the end was acknowledged and the
-// owner has heard of it.
-func TestEndedJobStops(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 20 * time.Millisecond
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestCanceledJobStops: no result is listed after the owner has dropped a canceled job.
+func TestCanceledJobStops(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 20 * time.Millisecond
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 200)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	require.NoError(t, other.End(t.Context(), "j1"))
-	require.NoError(t, other.End(t.Context(), "j1"))
-	require.Eventually(t, func() bool { return owner.Owned() == 0 }, patience, pollTime)
+	require.NoError(t, other.Cancel(t.Context(), "j1"))
+	require.NoError(t, other.Cancel(t.Context(), "j1"))
+	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval)
 	before, _ := allResults(t, other, "j1")
 	time.Sleep(300 * time.Millisecond)
 	after, _ := allResults(t, other, "j1")
 	require.Equal(t, before, after)
 }
 
-// TestLargeJobsLieInAnObject: their content fits no transaction.
-func TestLargeJobsLieInAnObject(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner, reader := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestJobLargerThanTransaction: a job whose content does not fit a transaction completes and
+// can be read at another daemon.
+func TestJobLargerThanTransaction(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner, reader := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 100)
 	for index := range accepted.Items {
 		accepted.Items[index].Body = make([]byte, 10000)
@@ -84,13 +84,13 @@
 	require.Len(t, body, 10000)
 }
 
-// TestImpossibleItemsAreAbandoned: one is refused for good, one fails at every
-// run, and neither is sent without end.
-func TestImpossibleItemsAreAbandoned(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.status["j1-item0"] = 422
-	runner.status["j1-item1"] = 500
-	owner := startDaemon(t, "a", store, runner)
+// TestFailingItemsAreAbandoned: an item that is rejected is sent once, an item that fails at
+// every attempt three times.
+func TestFailingItemsAreAbandoned(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.status["j1-item0"] = 422
+	fake.status["j1-item1"] = 500
+	owner := startDaemon(t, "a", store, fake)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 3)))
 	states := map[string]job.State{}
 	require.Eventually(t, func() bool {
@@ -99,60 +99,60 @@
 			states[result.Item] = result.State
 		}
 		return len(listed) == 3
-	}, patience, pollTime)
+	}, testTimeout, pollInterval)
 	require.Equal(t, map[string]job.State{"j1-item0": job.StateAbandoned, "j1-item1": job.StateAbandoned, "j1-item2": job.StateCompleted}, states)
-	require.Equal(t, 1, runner.started("j1-item0"))
-	require.Equal(t, 3, runner.started("j1-item1"))
+	require.Equal(t, 1, fake.started("j1-item0"))
+	require.Equal(t, 3, fake.started("j1-item1"))
 }
 
-// TestItemsWaitUntilOthersWorkIsKnown: a daemon that has just started places
-// nothing until it hears of other daemons' work, or has waited for it.
-func TestItemsWaitUntilOthersWorkIsKnown(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	patient := startSettling(t, "a", store, runner, time.Hour)
+// TestItemsWaitForPeerLoads: a daemon that has just started dispatches no items until it has
+// peer loads or the settling time is over.
+func TestItemsWaitForPeerLoads(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	settling := startWithSettlingTime(t, "a", store, fake, time.Hour)
 	accepted := newJob("j1", 3)
-	require.NoError(t, patient.Submit(t.Context(), accepted))
-	require.Never(t, func() bool { return runner.started("j1-item0") > 0 }, 400*time.Millisecond, pollTime)
-	patient.backends.SetPeerLoads("b", map[string]backend.PeerLoad{}, 0)
-	requireAllCompleted(t, patient, accepted)
-	alone := startSettling(t, "c", store, runner, 300*time.Millisecond)
+	require.NoError(t, settling.Submit(t.Context(), accepted))
+	require.Never(t, func() bool { return fake.started("j1-item0") > 0 }, 400*time.Millisecond, pollInterval)
+	settling.backends.SetPeerLoads("b", map[string]backend.PeerLoad{}, 0)
+	requireAllCompleted(t, settling, accepted)
+	single := startWithSettlingTime(t, "c", store, fake, 300*time.Millisecond)
 	second := newJob("j2", 3)
-	require.NoError(t, alone.Submit(t.Context(), second))
-	requireAllCompleted(t, alone, second)
+	require.NoError(t, single.Submit(t.Context(), second))
+	requireAllCompleted(t, single, second)
 }
 
-// TestOneItemGivesWayPerRequest: each online request that waits takes one item
-// from its backend, and the item completes elsewhere or later.
-func TestOneItemGivesWayPerRequest(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.events, runner.pause = 50, 20*time.Millisecond
-	owner := startDaemon(t, "a", store, runner)
+// TestOneItemPreemptedPerRequest: one preemption interrupts exactly one item, and the item
+// completes in a later run.
+func TestOneItemPreemptedPerRequest(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.events, fake.pause = 50, 20*time.Millisecond
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 4)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items) }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items) }, testTimeout, pollInterval)
 	owner.backends.Preempt("one")
-	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items)-1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items)-1 }, testTimeout, pollInterval)
 	requireAllCompleted(t, owner, accepted)
 	again := 0
 	for _, item := range accepted.Items {
-		again += runner.started(item.ID) - 1
+		again += fake.started(item.ID) - 1
 	}
-	require.Equal(t, 1, again, "runs beyond the first")
+	require.Equal(t, 1, again, "number of repeated runs")
 }
 
-// TestOwnerThatGaveWaySendsNothingForAWhile: online requests find no places, so
-// that a slot which looks free elsewhere is one of theirs.
-func TestOwnerThatGaveWaySendsNothingForAWhile(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.events, runner.pause = 100, 20*time.Millisecond
-	owner := startDaemon(t, "a", store, runner)
+// TestOwnerPausesAfterPreemption: after a preemption the owner sends no item for a pause,
+// also not to another backend.
+func TestOwnerPausesAfterPreemption(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.events, fake.pause = 100, 20*time.Millisecond
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 4)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items) }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["one"].Batch == len(accepted.Items) }, testTimeout, pollInterval)
 	owner.backends.Put(backend.Instance{ID: "two", Service: service, Slots: 100})
 	owner.backends.Preempt("one")
-	gaveWayAt := time.Now()
-	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["two"].Batch == 1 }, patience, time.Millisecond)
-	require.Greater(t, time.Since(gaveWayAt), 200*time.Millisecond)
+	preemptedAt := time.Now()
+	require.Eventually(t, func() bool { return owner.backends.OwnLoads()["two"].Batch == 1 }, testTimeout, time.Millisecond)
+	require.Greater(t, time.Since(preemptedAt), 200*time.Millisecond)
 	requireAllCompleted(t, owner, accepted)
 }
--- a/internal/job/pacing_test.go
+++ b/internal/job/pacing_test.go
@@ -14,34 +14,34 @@
 	"topazpulley/internal/routing"
 )
 
-// window is a time in which owners do not see each other's placements.
+// window is the time within which owners do not see each other's placements.
 const window = 300 * time.Millisecond
 
-// noBound leaves the room to the backends' own slots.
+// noBound leaves the capacity unlimited.
 func noBound(string, time.Time) batchcapacity.Capacity {
 	return batchcapacity.Capacity{Urgent: math.MaxInt32, Deferrable: math.MaxInt32}
 }
 
-// rounds is enough for means to settle.
+// rounds is the number of rounds of an average.
 const rounds = 2000
 
-// TestOwnersTogetherPlaceWhatThereIsRoomFor: on average, although none knows
-// what the others do in the same window.
-func TestOwnersTogetherPlaceWhatThereIsRoomFor(t *testing.T) {
+// TestOwnersTogetherFillFreeSlots: all owners together place as many items as there are free
+// slots, on average.
+func TestOwnersTogetherFillFreeSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room, owners := rapid.IntRange(0, 20).Draw(t, "room"), rapid.IntRange(1, 20).Draw(t, "owners")
+		freeSlots, owners := rapid.IntRange(0, 20).Draw(t, "room"), rapid.IntRange(1, 20).Draw(t, "owners")
 		random := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
 		placed := 0
 		for range rounds * owners {
-			placed += shareOf(room, 1, owners, random)
+			placed += shareOf(freeSlots, 1, owners, random)
 		}
-		require.InDelta(t, float64(room), float64(placed)/rounds, 0.35)
+		require.InDelta(t, float64(freeSlots), float64(placed)/rounds, 0.35)
 	})
 }
 
-// TestItemsGiveWayOnlyToOnlineRequests, and all owners together give up what
-// is too much, on average no more and no less, and never what they do not have.
-func TestItemsGiveWayOnlyToOnlineRequests(t *testing.T) {
+// TestItemsPreemptedOnlyForOnlineRequests: all owners together take back the excess on
+// average, none without online requests, and no owner more items than it has.
+func TestItemsPreemptedOnlyForOnlineRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 40).Draw(t, "slots")
 		online := rapid.IntRange(0, 60).Draw(t, "online")
@@ -60,29 +60,29 @@
 				taken += share
 			}
 		}
-		over := online + batch - slots
-		if over <= 0 || online == 0 {
+		excess := online + batch - slots
+		if excess <= 0 || online == 0 {
 			require.Zero(t, taken)
 			return
 		}
-		require.InDelta(t, float64(min(over, batch)), float64(taken)/rounds, 0.35)
+		require.InDelta(t, float64(min(excess, batch)), float64(taken)/rounds, 0.35)
 	})
 }
 
-// TestRoomIsNotTakenBackAtOnce: items fill no more than the slots, and what was
-// placed into the room stays while nothing else comes.
-func TestRoomIsNotTakenBackAtOnce(t *testing.T) {
+// TestPlacedItemsAreNotPreemptedAtOnce: items fill no more than the slots and are not taken
+// back while the load does not change.
+func TestPlacedItemsAreNotPreemptedAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidate := routing.Candidate{
 			Slots: rapid.IntRange(1, 40).Draw(t, "slots"), Online: rapid.IntRange(0, 40).Draw(t, "online"), Batch: rapid.IntRange(0, 40).Draw(t, "batch"),
 		}
-		room := roomForBatch(candidate)
-		require.GreaterOrEqual(t, room, 0)
-		if room == 0 {
+		freeSlots := roomForBatch(candidate)
+		require.GreaterOrEqual(t, freeSlots, 0)
+		if freeSlots == 0 {
 			return
 		}
-		require.LessOrEqual(t, candidate.Online+candidate.Batch+room, candidate.Slots)
-		candidate.Batch += room
+		require.LessOrEqual(t, candidate.Online+candidate.Batch+freeSlots, candidate.Slots)
+		candidate.Batch += freeSlots
 		candidate.OwnBatch = candidate.Batch
 		require.Zero(t, newYielder(rand.New(rand.NewPCG(5, 5))).share(candidate, time.Now(), window))
 	})
@@ -96,10 +96,10 @@
 	return candidates
 }
 
-// TestOwnersDoNotPlaceTwiceIntoTheSameRoom: within a window in which owners
-// cannot see each other's placements, many owners with many items each place
-// no more than the service's share for batch, however many passes they make.
-func TestOwnersDoNotPlaceTwiceIntoTheSameRoom(t *testing.T) {
+// TestOwnersDoNotOverfillWithinWindow: within one window, in which owners do not see each
+// other's placements, all owners together place no more items than there are free slots, plus
+// one for each owner.
+func TestOwnersDoNotOverfillWithinWindow(t *testing.T) {
 	const owners, passes, items, backends, slots = 10, 3, 200, 40, 10
 	seen := fleetOf(backends, slots, 2)
 	placed := 0
@@ -115,62 +115,61 @@
 			}
 		}
 	}
-	const room = (slots - 2) * backends
-	require.LessOrEqual(t, placed, room+owners)
-	require.Greater(t, placed, room/2)
+	const freeSlots = (slots - 2) * backends
+	require.LessOrEqual(t, placed, freeSlots+owners)
+	require.Greater(t, placed, freeSlots/2)
 }
 
-// TestItemsEnterNoFullService: they take the last free slot and never wait at a
-// backend, where online requests would wait behind them; nor do they go where
-// anything waits already.
-func TestItemsEnterNoFullService(t *testing.T) {
+// TestItemsAvoidFullBackends: items use the last free slot, but are not placed at full
+// backends or where requests wait.
+func TestItemsAvoidFullBackends(t *testing.T) {
 	placing := newPlacer(rand.New(rand.NewPCG(4, 4)), "", noBound)
 	placing.begin(3, 0, time.Now(), window)
 	for range 2 {
 		_, found := placing.choose("s", nil, fleetOf(1, 20, 18))
-		require.True(t, found, "a slot is free")
+		require.True(t, found, "a free slot was not used")
 	}
 	_, found := placing.choose("s", nil, fleetOf(1, 20, 18))
-	require.False(t, found, "both free slots are taken in this window")
+	require.False(t, found, "more items than free slots in one window")
 	require.True(t, placing.isFull("s"))
 	placing.begin(1, 0, time.Now().Add(window), window)
 	_, found = placing.choose("s", nil, fleetOf(20, 20, 20))
-	require.False(t, found, "no slot is free")
+	require.False(t, found, "an item was placed at a full backend")
 	waiting := fleetOf(1, 20, 10)
 	waiting[0].ID, waiting[0].Waiting = "other", 1
 	_, found = placing.choose("s", nil, waiting)
-	require.False(t, found, "work waits there")
+	require.False(t, found, "an item was placed where requests wait")
 }
 
-// TestItemsUseIdleBackendsOfAnySize: also one that has a single slot, however
-// far away the time is at which they are due.
+// TestItemsUseIdleBackendsOfAnySize: idle backends get items even with a single slot.
 func TestItemsUseIdleBackendsOfAnySize(t *testing.T) {
 	for _, slots := range []int{1, 2, 3} {
 		for _, count := range []int{1, 2, 5} {
 			placing := newPlacer(rand.New(rand.NewPCG(6, 6)), "", noBound)
 			placing.begin(1, 0, time.Now(), window)
 			_, found := placing.choose("s", nil, fleetOf(count, slots, 0))
-			require.True(t, found, "%d back ends of %d slots", count, slots)
+			require.True(t, found, "%d backends of %d slots", count, slots)
 		}
 	}
 }
 
-// TestUrgencyFollowsTheTimeThatItemsTake.
-func TestUrgencyFollowsTheTimeThatItemsTake(t *testing.T) {
+// TestUrgencyFollowsItemDuration: urgency depends on the measured item duration and the
+// elapsed running time.
+func TestUrgencyFollowsItemDuration(t *testing.T) {
 	clock := itemClock{}
 	require.False(t, clock.isUrgent(0, 20*time.Second))
 	require.True(t, clock.isUrgent(0, 10*time.Second))
-	require.False(t, clock.isUrgent(4*time.Second, 10*time.Second), "most of it has run")
-	require.False(t, clock.isUrgent(0, -time.Second), "its time is over")
+	require.False(t, clock.isUrgent(4*time.Second, 10*time.Second), "most of the item has run")
+	require.False(t, clock.isUrgent(0, -time.Second), "the due time has passed")
 	for range 200 {
 		clock.note(time.Second)
 	}
-	require.False(t, clock.isUrgent(0, 10*time.Second), "items turned out to be short")
+	require.False(t, clock.isUrgent(0, 10*time.Second), "measured items are short")
 }
 
-// TestSlotThatAnItemLeftIsLeftAlone until all owners know of the request for
-// which it gave way.
-func TestSlotThatAnItemLeftIsLeftAlone(t *testing.T) {
+// TestPreemptedSlotIsAvoided: a backend at which an item was preempted gets no item within
+// the window.
+func TestPreemptedSlotIsAvoided(t *testing.T) {
 	placing, now := newPlacer(rand.New(rand.NewPCG(10, 10)), "", noBound), time.Now()
 	placing.avoid("b0", now.Add(window))
 	placing.begin(1, 0, now, window)
--- a/internal/job/room_test.go
+++ b/internal/job/room_test.go
@@ -11,41 +11,41 @@
 	"topazpulley/internal/batchcapacity"
 )
 
-// askedInWindow has so many requests ask one owner of so many items for their slots before
-// it hears of others, and returns how many items gave way.
-func askedInWindow(owner *rooms, load backend.ServiceLoad, own, asked int, from time.Time) int {
-	given := 0
-	for range asked {
+// preemptInWindow sends an owner a number of preemption requests at one time and returns how many
+// it granted.
+func preemptInWindow(owner *rooms, load backend.ServiceLoad, own, requests int, from time.Time) int {
+	preempted := 0
+	for range requests {
 		if owner.mustGiveWay("s", load, own, window, from) {
-			given++
+			preempted++
 		}
 	}
-	return given
+	return preempted
 }
 
-// TestOwnersGiveTheirPartOfAnExcessOnce: however often requests ask in the time in which
-// owners see the same load, all owners together give what is too much, on average.
-func TestOwnersGiveTheirPartOfAnExcessOnce(t *testing.T) {
-	const owners, own, asked, rounds = 20, 7, mostDeclined, 200
+// TestOwnersPreemptTheirShareOnce: all owners together preempt the excess on average, however
+// often requests ask within the window.
+func TestOwnersPreemptTheirShareOnce(t *testing.T) {
+	const owners, own, requests, rounds = 20, 7, mostDeclined, 200
 	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 560, Batch: owners * own}
 	excess := batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &batchcapacity.Demand{}})
 	require.Positive(t, excess)
 	random := rand.New(rand.NewPCG(11, 11))
-	given := 0
+	preempted := 0
 	for range rounds {
 		for range owners {
-			given += askedInWindow(newRooms(batchcapacity.PolicyPeriodic, random), load, own, asked, time.Unix(1000, 0))
+			preempted += preemptInWindow(newRooms(batchcapacity.PolicyPeriodic, random), load, own, requests, time.Unix(1000, 0))
 		}
 	}
-	require.InDelta(t, float64(min(excess, owners*asked)), float64(given)/rounds, 4)
+	require.InDelta(t, float64(min(excess, owners*requests)), float64(preempted)/rounds, 4)
 }
 
-// TestItemsGiveWayToAShortageThatIsNotSeen: where room is seen some questions are chance,
-// and many are not.
-func TestItemsGiveWayToAShortageThatIsNotSeen(t *testing.T) {
+// TestItemsPreemptedAfterRepeatedRequests: where free slots are reported, a few preemption
+// requests are declined and further ones within the window are granted.
+func TestItemsPreemptedAfterRepeatedRequests(t *testing.T) {
 	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 300, Batch: 140}
 	owner, now := newRooms(batchcapacity.PolicyPeriodic, rand.New(rand.NewPCG(12, 12))), time.Unix(1000, 0)
-	require.Zero(t, askedInWindow(owner, load, 10, mostDeclined, now))
-	require.Equal(t, 2, askedInWindow(owner, load, 10, 2, now))
-	require.Zero(t, askedInWindow(owner, load, 10, mostDeclined, now.Add(window)))
+	require.Zero(t, preemptInWindow(owner, load, 10, mostDeclined, now))
+	require.Equal(t, 2, preemptInWindow(owner, load, 10, 2, now))
+	require.Zero(t, preemptInWindow(owner, load, 10, mostDeclined, now.Add(window)))
 }
--- a/internal/job/slow_link_test.go
+++ b/internal/job/slow_link_test.go
@@ -13,8 +13,8 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// slowLink is a store behind a link of so many bytes a second, which all
-// commits of a daemon share. What is not through when the call ends is lost.
+// slowLink is a store whose commits share a link of limited bandwidth. A commit fails if its call ends
+// first.
 type slowLink struct {
 	*tabletest.Memory
 	bytesPerSecond int
@@ -32,7 +32,7 @@
 	return s.Memory.Commit(ctx, transaction)
 }
 
-// pass holds the link for as long as the bytes take, or until the call ends.
+// pass occupies the link until the bytes have passed or the call ends.
 func (s *slowLink) pass(ctx context.Context, size int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -46,34 +46,33 @@
 	}
 }
 
-// TestResultsGetThroughASlowLink: results that ended together and are more than
-// the link carries in the time of one call are listed all the same, while the
-// checkpoints of other items take the same link.
-func TestResultsGetThroughASlowLink(t *testing.T) {
+// TestResultsCommitOverSlowLink: results that exceed what the link carries within one call
+// are committed all the same.
+func TestResultsCommitOverSlowLink(t *testing.T) {
 	store := &slowLink{Memory: tabletest.NewMemory(), bytesPerSecond: 300 << 10}
-	runner := newRunners()
-	runner.events, runner.pause = 1000, 200*time.Microsecond
-	owner := startDaemon(t, "a", store, runner)
+	fake := newFakeBackends()
+	fake.events, fake.pause = 1000, 200*time.Microsecond
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 90)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestLateGoroutineDropsNoNewerOwnership: a commit that fails after its claim
-// was lost must not end the job that the same daemon has taken up again.
-func TestLateGoroutineDropsNoNewerOwnership(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestStaleOwnershipDropKeepsNewOwnership: a failure of an earlier ownership must not drop
+// the job that the same daemon owns again.
+func TestStaleOwnershipDropKeepsNewOwnership(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 2)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireAllCompleted(t, owner, accepted)
 	require.NoError(t, job.DropOlderOwnership(owner.Service, newJob("j2", 1)))
 }
 
-// unreadable is a store of which one daemon cannot read the content of jobs.
-type unreadable struct{ *tabletest.Memory }
+// unreadableStore is a store from which the content of jobs cannot be read.
+type unreadableStore struct{ *tabletest.Memory }
 
-func (u unreadable) Read(ctx context.Context, wanted table.Range) (table.Page, error) {
+func (u unreadableStore) Read(ctx context.Context, wanted table.Range) (table.Page, error) {
 	if wanted.Table == "job_content" {
 		<-ctx.Done()
 		return table.Page{}, &table.Error{Kind: table.ErrorUnknown, Call: "read", Cause: ctx.Err()}
@@ -81,13 +80,13 @@
 	return u.Memory.Read(ctx, wanted)
 }
 
-// TestJobThatADaemonCannotReadGoesToAnother: a daemon that has claimed an
-// orphaned job and cannot read it leaves it to others.
-func TestJobThatADaemonCannotReadGoesToAnother(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Second
-	owner := startDaemon(t, "a", store, runner)
-	first, second := startDaemon(t, "b", unreadable{store}, runner), startDaemon(t, "c", store, runner)
+// TestUnreadableJobGoesToAnotherDaemon: a daemon that claims an orphaned job and cannot read
+// its content releases it to another daemon.
+func TestUnreadableJobGoesToAnotherDaemon(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Second
+	owner := startDaemon(t, "a", store, fake)
+	first, second := startDaemon(t, "b", unreadableStore{store}, fake), startDaemon(t, "c", store, fake)
 	second.peers.rank = 1
 	accepted := newJob("j1", 3)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
--- a/internal/job/store_faults_test.go
+++ b/internal/job/store_faults_test.go
@@ -15,71 +15,71 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// TestLostAcceptanceIsTakenUp: the answer to the acceptance is lost, the job
-// exists and is run all the same, by the daemon that sent it.
-func TestLostAcceptanceIsTakenUp(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestJobRunsAfterLostAcceptanceReply: the reply to the acceptance is lost; the job runs all
+// the same.
+func TestJobRunsAfterLostAcceptanceReply(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	store.SetDecide(tabletest.CommitFaults(tabletest.FaultLose, tabletest.FaultNone))
 	accepted := newJob("j1", 5)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestUnsettledAcceptanceIsNeverPromisedNotRun: the store loses the first
-// answer and then refuses; the acceptance may take effect later.
-func TestUnsettledAcceptanceIsNeverPromisedNotRun(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestUnsettledAcceptanceIsNotReportedNotRun: the store loses the first reply and then
+// refuses. The acceptance may take effect later, so the failure must not say that the job did
+// not run.
+func TestUnsettledAcceptanceIsNotReportedNotRun(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	store.SetDecide(tabletest.CommitFaults(tabletest.FaultLate, tabletest.FaultRefuse))
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	accepted := newJob("j1", 5)
 	err := owner.Submit(ctx, accepted)
 	require.Error(t, err)
-	require.False(t, failure.From(err).NotRun, "promised not run although the job may come to exist")
+	require.False(t, failure.From(err).NotRun, "reported as not run although the job may be accepted")
 	store.SetDecide(nil)
 	store.Settle()
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestUnsettledEndIsNeverPromisedNotDone: the store loses the answer to the end of
-// a job and then refuses. The caller was told 503, "not done", while the job had
-// ended or was about to.
-func TestUnsettledEndIsNeverPromisedNotDone(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestUnsettledCancelIsNotReportedNotDone: the store loses the reply to a cancellation and
+// then refuses. The cancellation may take effect later, so the failure must not say that it
+// was not done.
+func TestUnsettledCancelIsNotReportedNotDone(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 5)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	store.SetDecide(tabletest.CommitFaults(tabletest.FaultLate, tabletest.FaultRefuse))
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	err := owner.End(ctx, accepted.ID)
+	err := owner.Cancel(ctx, accepted.ID)
 	require.Error(t, err)
-	require.False(t, failure.From(err).NotRun, "promised not done although the end may take effect")
+	require.False(t, failure.From(err).NotRun, "reported as not done although the cancellation may take effect")
 }
 
-// TestUnsettledEndOfADaemonThatStopsIsNeverPromisedNotDone: the end is given up with
-// the daemon while its caller waits.
-func TestUnsettledEndOfADaemonThatStopsIsNeverPromisedNotDone(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Minute
-	owner := startDaemon(t, "a", store, runner)
+// TestUnsettledCancelAtStopIsNotReportedNotDone: the daemon stops while the caller waits for
+// an unsettled cancellation.
+func TestUnsettledCancelAtStopIsNotReportedNotDone(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Minute
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 5)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	store.SetDecide(tabletest.CommitFaults(tabletest.FaultLate, tabletest.FaultRefuse))
 	time.AfterFunc(300*time.Millisecond, owner.cancel)
-	err := owner.End(t.Context(), accepted.ID)
+	err := owner.Cancel(t.Context(), accepted.ID)
 	require.Error(t, err)
-	require.False(t, failure.From(err).NotRun, "promised not done although the end may take effect")
+	require.False(t, failure.From(err).NotRun, "reported as not done although the cancellation may take effect")
 }
 
-// TestResentJobIsNotRefusedUnlessItIsKnownToBeNew: a job that does not fit is sent
-// again after its acceptance, whose answer was lost. While the store does not tell
-// whether the job exists, 429 would promise that no part of it runs.
-func TestResentJobIsNotRefusedUnlessItIsKnownToBeNew(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+// TestResubmittedJobIsRefusedOnlyIfNew: a resubmitted job that exceeds the limit may exist
+// already. While the store cannot be read, the failure must not say that the job did not run.
+func TestResubmittedJobIsRefusedOnlyIfNew(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "read" {
 			return tabletest.FaultRefuse
@@ -94,15 +94,16 @@
 	require.False(t, failure.From(err).NotRun)
 	store.SetDecide(nil)
 	err = owner.RefuseUnlessAccepted(t.Context(), newJob("j1", 5), full)
-	require.True(t, failure.From(err).NotRun, "it is known not to exist")
+	require.True(t, failure.From(err).NotRun, "the job is known not to exist")
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 5)))
 	require.NoError(t, owner.RefuseUnlessAccepted(t.Context(), newJob("j1", 5), full))
 }
 
-// TestRefusedJobNeverRuns: every try was refused.
+// TestRefusedJobNeverRuns: all attempts of the acceptance are refused: the job must not
+// exist.
 func TestRefusedJobNeverRuns(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	owner := startDaemon(t, "a", store, runner)
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	owner := startDaemon(t, "a", store, fake)
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "commit" {
 			return tabletest.FaultThrottle
@@ -119,50 +120,49 @@
 	require.Zero(t, store.Commits())
 }
 
-// deafStore tells once, with the first watch, that what was read is the present state, and
-// nothing after that.
-type deafStore struct {
+// firstWatchStore serves the first watch call and blocks later ones.
+type firstWatchStore struct {
 	table.Store
 	watches atomic.Int64
 }
 
-func (d *deafStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+func (d *firstWatchStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
 	if d.watches.Add(1) == 1 {
 		return d.Store.Watch(ctx, name, after, wait)
 	}
-	return watchInVain(ctx)
+	return blockWatch(ctx)
 }
 
-// watchInVain waits for changes and never hears of any.
-func watchInVain(ctx context.Context) (table.Changes, error) {
+// blockWatch blocks until the call ends and returns an error.
+func blockWatch(ctx context.Context) (table.Changes, error) {
 	<-ctx.Done()
 	return table.Changes{}, &table.Error{Kind: table.ErrorUnknown, Call: "watch"}
 }
 
-// TestOwnerThatHearsNothingCommitsNothingAfterTheEnd: the claim alone keeps an
-// owner from listing results of a job that was ended.
-func TestOwnerThatHearsNothingCommitsNothingAfterTheEnd(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 40 * time.Millisecond
-	deaf := &deafStore{Store: store}
-	owner, other := startDaemon(t, "a", deaf, runner), startDaemon(t, "b", store, runner)
-	// What it is told of the claims must be over, or it tells the owner of the end.
-	require.Eventually(t, func() bool { return deaf.watches.Load() > 1 }, patience, pollTime)
+// TestOwnerWithoutWatchCommitsNothingAfterCancel: the claim condition alone keeps an owner
+// without a watch from listing results of a canceled job.
+func TestOwnerWithoutWatchCommitsNothingAfterCancel(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 40 * time.Millisecond
+	limited := &firstWatchStore{Store: store}
+	owner, other := startDaemon(t, "a", limited, fake), startDaemon(t, "b", store, fake)
+	// The first watch must have returned: it could report the cancellation.
+	require.Eventually(t, func() bool { return limited.watches.Load() > 1 }, testTimeout, pollInterval)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 100)))
-	require.NoError(t, other.End(t.Context(), "j1"))
+	require.NoError(t, other.Cancel(t.Context(), "j1"))
 	before, _ := allResults(t, other, "j1")
-	require.Eventually(t, func() bool { return owner.Owned() == 0 }, patience, pollTime)
+	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval)
 	after, _ := allResults(t, other, "j1")
 	require.Equal(t, before, after)
 }
 
-// TestRandomStoreFaults: refused, throttled, lost and late calls, two takeovers
-// and broken runs; every accepted job completes with each item once.
+// TestRandomStoreFaults: store faults, a stopped daemon and interrupted runs: every accepted
+// job completes with each item once.
 func TestRandomStoreFaults(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 5 * time.Millisecond
-	runner.breakShare = 0.1
-	daemons := []*daemon{startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner), startDaemon(t, "c", store, runner)}
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 5 * time.Millisecond
+	fake.breakShare = 0.1
+	daemons := []*daemon{startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake), startDaemon(t, "c", store, fake)}
 	random := rand.New(rand.NewPCG(1, rand.Uint64()))
 	store.SetDecide(func(string) tabletest.Fault {
 		if random.Float64() < 0.7 {
--- a/internal/job/takeover_test.go
+++ b/internal/job/takeover_test.go
@@ -13,11 +13,11 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// TestOrphanedJobIsTakenOver: the owner is killed in the middle.
+// TestOrphanedJobIsTakenOver: the owner stops without releasing the job.
 func TestOrphanedJobIsTakenOver(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 20 * time.Millisecond
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 20 * time.Millisecond
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
@@ -25,12 +25,12 @@
 	requireAllCompleted(t, other, accepted)
 }
 
-// TestFalselySuspectedOwnerCommitsNothingTwice: both run the job; only the
-// holder of the claim commits.
+// TestFalselySuspectedOwnerCommitsNothingTwice: both daemons run the job; only the holder of
+// the claim commits.
 func TestFalselySuspectedOwnerCommitsNothingTwice(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 30 * time.Millisecond
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 30 * time.Millisecond
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	other.peers.kill("a")
@@ -38,12 +38,12 @@
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestDaemonsThatCannotHearEachOtherDoNotTakeAJobInTurn: both run it for a
-// while, and it ends.
-func TestDaemonsThatCannotHearEachOtherDoNotTakeAJobInTurn(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.events, runner.pause = 60, 40*time.Millisecond
-	first, second := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestPartitionedDaemonsDoNotAlternateOwnership: two daemons that suspect each other must
+// complete a job without taking it over in turn.
+func TestPartitionedDaemonsDoNotAlternateOwnership(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.events, fake.pause = 60, 40*time.Millisecond
+	first, second := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	first.peers.suspect("b")
 	second.peers.suspect("a")
 	accepted := newJob("j1", 4)
@@ -54,11 +54,12 @@
 	require.Less(t, store.Commits()-before, 25)
 }
 
-// TestReleasedJobGoesOnElsewhere: a planned stop.
-func TestReleasedJobGoesOnElsewhere(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 10 * time.Millisecond
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestReleasedJobContinuesElsewhere: a stopping daemon releases its job and another one
+// completes it.
+func TestReleasedJobContinuesElsewhere(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 10 * time.Millisecond
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 120)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.Stop(t.Context())
@@ -66,16 +67,16 @@
 	requireAllCompleted(t, other, accepted)
 }
 
-// TestNextOwnerGoesOnAtTheCheckpoint: after a kill and after a planned stop, an
-// item's new run is asked to go on behind the events that were kept.
-func TestNextOwnerGoesOnAtTheCheckpoint(t *testing.T) {
+// TestNextOwnerResumesAtCheckpoint: after a crash and after a planned stop, items resume
+// after the events of their checkpoints.
+func TestNextOwnerResumesAtCheckpoint(t *testing.T) {
 	for _, isPlanned := range []bool{false, true} {
-		store, runner := tabletest.NewMemory(), newRunners()
-		runner.events, runner.pause = 200, 20*time.Millisecond
-		owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+		store, fake := tabletest.NewMemory(), newFakeBackends()
+		fake.events, fake.pause = 200, 20*time.Millisecond
+		owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 		accepted := newJob("j1", 3)
 		require.NoError(t, owner.Submit(t.Context(), accepted))
-		require.Eventually(t, func() bool { return checkpointsOf(t, store, accepted) == len(accepted.Items) }, patience, pollTime)
+		require.Eventually(t, func() bool { return checkpointsOf(t, store, accepted) == len(accepted.Items) }, testTimeout, pollInterval)
 		if isPlanned {
 			owner.Stop(t.Context())
 		} else {
@@ -84,7 +85,7 @@
 		}
 		requireAllCompleted(t, other, accepted)
 		for _, item := range accepted.Items {
-			require.GreaterOrEqual(t, runner.resumedAt(item.ID), int64(16), "planned %v", isPlanned)
+			require.GreaterOrEqual(t, fake.resumedAt(item.ID), int64(16), "planned %v", isPlanned)
 		}
 	}
 }
@@ -103,7 +104,7 @@
 	return count
 }
 
-// gatedStore holds reads of jobs' content until it is opened.
+// gatedStore blocks reads of job content until open is closed.
 type gatedStore struct {
 	table.Store
 	reached chan struct{}
@@ -119,41 +120,41 @@
 	return g.Store.Read(ctx, wanted)
 }
 
-// TestJobEndedDuringTakeoverIsNotRun: the end comes while the daemon that
-// takes the job over still reads its items.
-func TestJobEndedDuringTakeoverIsNotRun(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 50 * time.Millisecond
-	owner := startDaemon(t, "a", store, runner)
+// TestJobCanceledDuringTakeoverIsNotRun: the job is canceled while the daemon that takes it
+// over reads its items.
+func TestJobCanceledDuringTakeoverIsNotRun(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 50 * time.Millisecond
+	owner := startDaemon(t, "a", store, fake)
 	accepted := newJob("j1", 200)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
 	gated := &gatedStore{Store: store, reached: make(chan struct{}), open: make(chan struct{})}
-	late := newRunners()
-	successor, third := startDaemon(t, "b", gated, late), startDaemon(t, "c", store, runner)
+	late := newFakeBackends()
+	successor, third := startDaemon(t, "b", gated, late), startDaemon(t, "c", store, fake)
 	successor.peers.kill("a")
 	<-gated.reached
-	require.NoError(t, third.End(t.Context(), "j1"))
+	require.NoError(t, third.Cancel(t.Context(), "j1"))
 	ended := store.Version()
-	require.Eventually(t, func() bool { return successor.Followed() >= ended }, patience, pollTime)
+	require.Eventually(t, func() bool { return successor.Followed() >= ended }, testTimeout, pollInterval)
 	close(gated.open)
 	time.Sleep(300 * time.Millisecond)
 	require.Zero(t, successor.Owned())
 	require.Empty(t, late.starts)
 }
 
-// TestFailuresAreCountedOverOwners: an item that fails at every run is sent no
-// more often because its job changes hands.
-func TestFailuresAreCountedOverOwners(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.status["j1-item0"] = 500
-	owner, other := startDaemon(t, "a", store, runner), startDaemon(t, "b", store, runner)
+// TestFailureCountSurvivesTakeover: a change of owner must not add attempts for an item that
+// always fails.
+func TestFailureCountSurvivesTakeover(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.status["j1-item0"] = 500
+	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	require.NoError(t, owner.Submit(t.Context(), newJob("j1", 1)))
-	require.Eventually(t, func() bool { return runner.started("j1-item0") > 0 }, patience, pollTime)
+	require.Eventually(t, func() bool { return fake.started("j1-item0") > 0 }, testTimeout, pollInterval)
 	owner.Stop(t.Context())
 	require.Eventually(t, func() bool {
 		listed, _ := allResults(t, other, "j1")
 		return len(listed) == 1 && listed[0].State == job.StateAbandoned
-	}, patience, pollTime)
-	require.Equal(t, 3, runner.started("j1-item0"))
+	}, testTimeout, pollInterval)
+	require.Equal(t, 3, fake.started("j1-item0"))
 }
--- a/internal/job/waiting_test.go
+++ b/internal/job/waiting_test.go
@@ -30,8 +30,8 @@
 	return made
 }
 
-// waitingTokens reads what the store counts on the tests' route.
-func waitingTokens(t *testing.T, store table.Store) int64 {
+// queuedTokens returns the queued tokens that the store counts for the route.
+func queuedTokens(t *testing.T, store table.Store) int64 {
 	t.Helper()
 	page, err := store.Read(context.Background(), table.Range{Table: "quota_total", Partition: "jobs"})
 	require.NoError(t, err)
@@ -44,20 +44,20 @@
 	return total.Waiting
 }
 
-func requireNothingWaits(t *testing.T, store table.Store) {
+func requireNoQueuedTokens(t *testing.T, store table.Store) {
 	t.Helper()
-	require.Eventually(t, func() bool { return waitingTokens(t, store) == 0 }, patience, pollTime)
+	require.Eventually(t, func() bool { return queuedTokens(t, store) == 0 }, testTimeout, pollInterval)
 }
 
-// TestFleetKeepsTheBoundOnWaitingTokens: jobs come to all daemons at once; no
-// more are accepted than fit, and all are once earlier ones have ended.
-func TestFleetKeepsTheBoundOnWaitingTokens(t *testing.T) {
+// TestFleetKeepsQueuedTokenLimit: jobs submitted to all daemons at once are accepted only up
+// to the limit, and all once earlier ones have completed.
+func TestFleetKeepsQueuedTokenLimit(t *testing.T) {
 	const limit, jobs = 100, 12
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 30 * time.Millisecond
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 30 * time.Millisecond
 	daemons := []*daemon{}
 	for _, name := range []string{"a", "b", "c"} {
-		daemons = append(daemons, startBounded(t, name, store, runner, 0, limit))
+		daemons = append(daemons, startWithTokenLimit(t, name, store, fake, 0, limit))
 	}
 	var accepted atomic.Int64
 	var group sync.WaitGroup
@@ -76,66 +76,66 @@
 	require.EqualValues(t, limit/(5*itemTokens), accepted.Load())
 	for number := range jobs {
 		again := sizedJob(fmt.Sprint("j", number), 5)
-		require.Eventually(t, func() bool { return daemons[0].Submit(t.Context(), again) == nil }, patience, pollTime)
+		require.Eventually(t, func() bool { return daemons[0].Submit(t.Context(), again) == nil }, testTimeout, pollInterval)
 		requireAllCompleted(t, daemons[1], again)
 	}
-	requireNothingWaits(t, store)
+	requireNoQueuedTokens(t, store)
 }
 
-// TestResentJobCountsOnceAndIsNeverRefused: a job whose 202 was lost is sent
-// again while the account is full.
-func TestResentJobCountsOnceAndIsNeverRefused(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 50 * time.Millisecond
-	first, second := startBounded(t, "a", store, runner, 0, 50), startBounded(t, "b", store, runner, 0, 50)
+// TestResubmittedJobCountsOnce: a resubmitted job is acknowledged and not counted again while
+// the account is full.
+func TestResubmittedJobCountsOnce(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 50 * time.Millisecond
+	first, second := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
 	accepted := sizedJob("j1", 5)
 	require.NoError(t, first.Submit(t.Context(), accepted))
 	require.NoError(t, second.Submit(t.Context(), accepted))
-	require.EqualValues(t, 50, waitingTokens(t, store))
+	require.EqualValues(t, 50, queuedTokens(t, store))
 	err := second.Submit(t.Context(), sizedJob("j2", 1))
 	require.True(t, failure.Is(err, failure.KindOverloaded), "%v", err)
 	requireAllCompleted(t, second, accepted)
 	require.NoError(t, second.Submit(t.Context(), accepted))
-	requireNothingWaits(t, store)
+	requireNoQueuedTokens(t, store)
 }
 
-// TestTakenOverJobStaysCounted: its owner is killed; the count is neither lost
-// nor doubled, and goes down to nothing when the job ends.
+// TestTakenOverJobStaysCounted: a takeover does not count a job twice, and the count is zero
+// when the job has completed.
 func TestTakenOverJobStaysCounted(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = 20 * time.Millisecond
-	owner, other := startBounded(t, "a", store, runner, 0, 300), startBounded(t, "b", store, runner, 0, 300)
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = 20 * time.Millisecond
+	owner, other := startWithTokenLimit(t, "a", store, fake, 0, 300), startWithTokenLimit(t, "b", store, fake, 0, 300)
 	accepted := sizedJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
 	other.peers.kill("a")
-	require.LessOrEqual(t, waitingTokens(t, store), int64(200))
+	require.LessOrEqual(t, queuedTokens(t, store), int64(200))
 	requireAllCompleted(t, other, accepted)
-	requireNothingWaits(t, store)
+	requireNoQueuedTokens(t, store)
 }
 
-// TestEndedJobFreesItsTokens.
-func TestEndedJobFreesItsTokens(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Second
-	owner, other := startBounded(t, "a", store, runner, 0, 50), startBounded(t, "b", store, runner, 0, 50)
+func TestCanceledJobFreesItsTokens(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Second
+	owner, other := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
 	require.NoError(t, owner.Submit(t.Context(), sizedJob("j1", 5)))
-	require.NoError(t, other.End(t.Context(), "j1"))
-	requireNothingWaits(t, store)
+	require.NoError(t, other.Cancel(t.Context(), "j1"))
+	requireNoQueuedTokens(t, store)
 }
 
-// TestReservationOfADeadDaemonIsSwept: its acceptance never came; one that is
-// carried out late must fail, since nothing counts it any more.
-func TestReservationOfADeadDaemonIsSwept(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	dying, other := startBounded(t, "a", store, runner, 0, 50), startBounded(t, "b", store, runner, 0, 50)
+// TestReservationOfStoppedDaemonIsSwept: the reservation of an acceptance that has not taken
+// effect is swept after its daemon stops. The acceptance must then fail, since its tokens are
+// no longer counted.
+func TestReservationOfStoppedDaemonIsSwept(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	dying, other := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
 	commits := 0
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "commit" {
 			commits++
 		}
 		if call == "commit" && commits > 1 {
-			return tabletest.FaultLate // the first one reserves, the others accept
+			return tabletest.FaultLate // the first commit reserves, the others accept
 		}
 		return tabletest.FaultNone
 	})
@@ -145,24 +145,24 @@
 	require.True(t, failure.Is(err, failure.KindOutcomeUnknown), "%v", err)
 	dying.cancel()
 	store.SetDecide(nil)
-	require.EqualValues(t, 50, waitingTokens(t, store))
-	requireNothingWaits(t, store)
+	require.EqualValues(t, 50, queuedTokens(t, store))
+	requireNoQueuedTokens(t, store)
 	store.Settle()
 	_, err = other.Results(t.Context(), "j1", 0, 0)
-	require.True(t, failure.Is(err, failure.KindNotFound), "a voided acceptance was carried out: %v", err)
+	require.True(t, failure.Is(err, failure.KindNotFound), "a voided acceptance took effect: %v", err)
 	again := sizedJob("j1", 5)
 	require.NoError(t, other.Submit(t.Context(), again))
 	requireAllCompleted(t, other, again)
-	requireNothingWaits(t, store)
+	requireNoQueuedTokens(t, store)
 }
 
-// TestRefusedTryKeepsTheReservationOfAnUnsettledOne: the acceptance by one
-// daemon is under way with its outcome unknown when another daemon's try is
-// refused for sure. The tokens must stay counted: the first may be carried out.
-func TestRefusedTryKeepsTheReservationOfAnUnsettledOne(t *testing.T) {
-	store, runner := tabletest.NewMemory(), newRunners()
-	runner.pause = time.Second
-	first, second := startBounded(t, "a", store, runner, 0, 50), startBounded(t, "b", store, runner, 0, 50)
+// TestRefusedAttemptKeepsUnsettledReservation: the acceptance at one daemon is unsettled when
+// the attempt of another daemon is refused. The tokens must stay counted: the first
+// acceptance may take effect.
+func TestRefusedAttemptKeepsUnsettledReservation(t *testing.T) {
+	store, fake := tabletest.NewMemory(), newFakeBackends()
+	fake.pause = time.Second
+	first, second := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
 	submit := func(to *daemon, sound int, fault tabletest.Fault) error {
 		commits := 0
 		store.SetDecide(func(call string) tabletest.Fault {
@@ -179,17 +179,17 @@
 		defer store.SetDecide(nil)
 		return to.Submit(ctx, sizedJob("j1", 5))
 	}
-	// A daemon's first commit on an account tells it how the account stands.
+	// A daemon learns the state of an account with its first commit on it.
 	require.True(t, failure.Is(second.Submit(t.Context(), sizedJob("large", 6)), failure.KindOverloaded))
 	require.True(t, failure.Is(first.Submit(t.Context(), sizedJob("large", 6)), failure.KindOverloaded))
 	require.True(t, failure.Is(submit(first, 1, tabletest.FaultLate), failure.KindOutcomeUnknown))
 	// Its reservation takes two commits: the first finds the total changed.
 	require.True(t, failure.From(submit(second, 2, tabletest.FaultRefuse)).NotRun)
-	require.Never(t, func() bool { return waitingTokens(t, store) < 50 }, 500*time.Millisecond, pollTime)
+	require.Never(t, func() bool { return queuedTokens(t, store) < 50 }, 500*time.Millisecond, pollInterval)
 }
 
-// voidingStore voids a job just before its first acceptance is committed, as
-// the sweeper of another daemon does, and keeps the reservation that it saw.
+// voidingStore voids a job before its first acceptance is committed, as a sweep does, and keeps the
+// reservation that it read.
 type voidingStore struct {
 	*tabletest.Memory
 	once sync.Once
@@ -215,16 +215,16 @@
 	_, _ = s.Memory.Commit(ctx, table.Transaction{Partition: transaction.Partition, Writes: []table.Write{{Table: "void_job", Key: id, Value: []byte("b")}}})
 }
 
-// TestSweptReservationIsNotTheNewOne: a job is voided, its daemon reserves anew
-// and accepts it; only then the sweeper frees what it saw.
-func TestSweptReservationIsNotTheNewOne(t *testing.T) {
-	store, runner := &voidingStore{Memory: tabletest.NewMemory()}, newRunners()
-	runner.pause = time.Second
-	owner := startBounded(t, "a", store, runner, 0, 50)
+// TestSweepKeepsNewReservation: a job is voided, reserved again and accepted. The sweep must
+// free only the reservation that it read.
+func TestSweepKeepsNewReservation(t *testing.T) {
+	store, fake := &voidingStore{Memory: tabletest.NewMemory()}, newFakeBackends()
+	fake.pause = time.Second
+	owner := startWithTokenLimit(t, "a", store, fake, 0, 50)
 	require.NoError(t, owner.Submit(t.Context(), sizedJob("j1", 5)))
 	require.NotEmpty(t, store.seen.Holder)
-	sweeper := quota.NewAccounts(store, alone{}, telemetry.NewQuota(prometheus.NewRegistry()), quiet)
+	sweeper := quota.NewAccounts(store, soleCoordinator{}, telemetry.NewQuota(prometheus.NewRegistry()), discardLogger)
 	_, err := sweeper.Apply(t.Context(), "jobs", quota.Limit{Tokens: 50, Config: 1}, []quota.Operation{{Kind: quota.KindRelease, Job: "j1", Holder: store.seen.Holder}})
 	require.NoError(t, err)
-	require.EqualValues(t, 50, waitingTokens(t, store))
+	require.EqualValues(t, 50, queuedTokens(t, store))
 }
--- a/internal/job/yielding_test.go
+++ b/internal/job/yielding_test.go
@@ -10,83 +10,83 @@
 	"topazpulley/internal/routing"
 )
 
-// looks is how often owners look at a crowded backend before they hear of each
-// other: as often as online requests come.
-const looks = 10
+// checks is how often owners check an overloaded backend within a window.
+const checks = 10
 
-// ownerAt is one owner of items at a backend whose others it sees as they were.
-type ownerAt struct {
+// backendOwner is an owner of items at a backend.
+type backendOwner struct {
 	yielder *yielder
 	own     int
 }
 
-func ownersAt(count int) []*ownerAt {
-	owners := []*ownerAt{}
+func backendOwners(count int) []*backendOwner {
+	owners := []*backendOwner{}
 	for index := range uint64(count) {
-		owners = append(owners, &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(7, index))), own: 1})
+		owners = append(owners, &backendOwner{yielder: newYielder(rand.New(rand.NewPCG(7, index))), own: 1})
 	}
 	return owners
 }
 
-// look lets the owner take items back and returns how many.
-func (o *ownerAt) look(slots, online, others int, now time.Time) int {
+// check takes items back and returns how many.
+func (o *backendOwner) check(slots, online, others int, now time.Time) int {
 	taken := o.yielder.share(routing.Candidate{ID: "b", Slots: slots, Online: online, Batch: others + o.own, OwnBatch: o.own}, now, window)
 	o.own -= taken
 	return taken
 }
 
-// TestOwnersGiveWayOnceForOneExcess: however often they look before they hear
-// of each other, all owners together take back what is too much, on average.
-func TestOwnersGiveWayOnceForOneExcess(t *testing.T) {
+// TestOwnersAnswerExcessOnce: all owners together take back the excess once, on average,
+// however often they check within the window.
+func TestOwnersAnswerExcessOnce(t *testing.T) {
 	const slots, online, rounds = 7, 2, 400
 	taken := 0
 	start := time.Now()
 	for round := range rounds {
-		owners := ownersAt(slots)
-		for look := range looks {
+		owners := backendOwners(slots)
+		for check := range checks {
 			for index, owner := range owners {
-				owner.yielder.random = rand.New(rand.NewPCG(uint64(round), uint64(look*slots+index)))
-				taken += owner.look(slots, online, slots-1, start.Add(time.Duration(look)*crowdedPause))
+				owner.yielder.random = rand.New(rand.NewPCG(uint64(round), uint64(check*slots+index)))
+				taken += owner.check(slots, online, slots-1, start.Add(time.Duration(check)*crowdedPause))
 			}
 		}
 	}
 	require.InDelta(t, float64(online), float64(taken)/rounds, 0.4)
 }
 
-// TestOwnersAnswerFurtherRequestsAtOnce: what comes on top of an excess that
-// was answered is answered without waiting for the window.
-func TestOwnersAnswerFurtherRequestsAtOnce(t *testing.T) {
+// TestAddedExcessIsAnsweredAtOnce: excess that is added to an answered one is answered
+// without waiting for the window.
+func TestAddedExcessIsAnsweredAtOnce(t *testing.T) {
 	now := time.Now()
-	owner := &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(8, 8))), own: 4}
-	require.Equal(t, 1, owner.look(4, 1, 0, now))
-	require.Equal(t, 1, owner.look(4, 2, 0, now.Add(crowdedPause)))
-	require.Zero(t, owner.look(4, 2, 0, now.Add(2*crowdedPause)))
+	owner := &backendOwner{yielder: newYielder(rand.New(rand.NewPCG(8, 8))), own: 4}
+	require.Equal(t, 1, owner.check(4, 1, 0, now))
+	require.Equal(t, 1, owner.check(4, 2, 0, now.Add(crowdedPause)))
+	require.Zero(t, owner.check(4, 2, 0, now.Add(2*crowdedPause)))
 }
 
-// TestExcessThatStandsIsAnsweredAgain once all owners have heard of each other.
-func TestExcessThatStandsIsAnsweredAgain(t *testing.T) {
+// TestPersistentExcessIsAnsweredAgain: excess that persists after the window is answered
+// again.
+func TestPersistentExcessIsAnsweredAgain(t *testing.T) {
 	now := time.Now()
-	owner := &ownerAt{yielder: newYielder(rand.New(rand.NewPCG(9, 9))), own: 1}
+	owner := &backendOwner{yielder: newYielder(rand.New(rand.NewPCG(9, 9))), own: 1}
 	taken := 0
-	for look := range 400 {
-		taken += owner.look(7, 1, 6, now.Add(time.Duration(look)*window))
+	for check := range 400 {
+		taken += owner.check(7, 1, 6, now.Add(time.Duration(check)*window))
 	}
-	require.Equal(t, 1, taken, "the others took nothing back, so the owner did in the end")
+	require.Equal(t, 1, taken, "the other owners took nothing back, so this one has to")
 }
 
-// TestExcessMustStandWhereThereIsRoom: a request that only asks for a place there takes no
-// item away, one that stays does; where there is no room none waits.
-func TestExcessMustStandWhereThereIsRoom(t *testing.T) {
-	now, crowded := time.Now(), routing.Candidate{ID: "b", Slots: 4, Online: 2, Batch: 3}
-	looking := newYielder(rand.New(rand.NewPCG(13, 13)))
-	require.True(t, looking.stands(crowded, false, now))
-	require.Equal(t, yieldInterval, looking.nextLook())
-	require.False(t, looking.stands(crowded, true, now))
-	require.Equal(t, standingExcess, looking.nextLook())
-	require.False(t, looking.stands(crowded, true, now.Add(standingExcess/2)))
-	require.True(t, looking.stands(crowded, true, now.Add(standingExcess)))
-	crowded.Online = 1
-	require.True(t, looking.stands(crowded, true, now.Add(standingExcess)), "it is not crowded any more")
-	crowded.Online = 2
-	require.False(t, looking.stands(crowded, true, now.Add(2*standingExcess)), "another one asks")
+// TestExcessMustPersistWithFreeSlots: with free slots elsewhere, excess must persist before
+// an item is taken back; without, it need not.
+func TestExcessMustPersistWithFreeSlots(t *testing.T) {
+	now, overloaded := time.Now(), routing.Candidate{ID: "b", Slots: 4, Online: 2, Batch: 3}
+	checking := newYielder(rand.New(rand.NewPCG(13, 13)))
+	require.True(t, checking.stands(overloaded, false, now))
+	require.Equal(t, yieldInterval, checking.nextLook())
+	require.False(t, checking.stands(overloaded, true, now))
+	require.Equal(t, standingExcess, checking.nextLook())
+	require.False(t, checking.stands(overloaded, true, now.Add(standingExcess/2)))
+	require.True(t, checking.stands(overloaded, true, now.Add(standingExcess)))
+	overloaded.Online = 1
+	require.True(t, checking.stands(overloaded, true, now.Add(standingExcess)), "the excess is gone")
+	overloaded.Online = 2
+	require.False(t, checking.stands(overloaded, true, now.Add(2*standingExcess)), "a new excess has not persisted")
 }
--- a/test/mutants.d/batchroom.sh
+++ b/test/mutants.d/batchroom.sh
@@ -15,10 +15,10 @@
 mutant batch_excess_rise internal/batchcapacity/excess.go \
 	'load.Online += sight.Demand.Rise(sight.Age)' '' internal/batchcapacity TestExcessIsWhatOnlineWorkHasRisenTo
 mutant batch_gives_once internal/job/rooms.go \
-	'known.given < known.owed ||' 'known.owed > 0 ||' internal/job TestOwnersGiveTheirPartOfAnExcessOnce
+	'known.given < known.owed ||' 'known.owed > 0 ||' internal/job TestOwnersPreemptTheirShareOnce
 mutant batch_shortage_not_seen internal/job/rooms.go \
-	' || known.declined >= mostDeclined' '' internal/job TestItemsGiveWayToAShortageThatIsNotSeen
+	' || known.declined >= mostDeclined' '' internal/job TestItemsPreemptedAfterRepeatedRequests
 mutant batch_items_stay internal/job/rooms.go \
-	'if known.given < known.owed' 'if true || known.given < known.owed' internal/job 'TestItemsStepAsideOnce|TestItemsGiveWayToAShortageThatIsNotSeen'
+	'if known.given < known.owed' 'if true || known.given < known.owed' internal/job 'TestPreemptionsPerItemAreBounded|TestItemsPreemptedAfterRepeatedRequests'
 mutant batch_excess_must_stand internal/job/yielding.go \
-	'if !isRoomy || crowding(candidate) == 0 {' 'if true {' internal/job TestExcessMustStandWhereThereIsRoom
+	'if !isRoomy || crowding(candidate) == 0 {' 'if true {' internal/job TestExcessMustPersistWithFreeSlots
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -8,9 +8,9 @@
 mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
 	'r.bytes+taken > r.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsHoldLittle
 mutant held_memory_not_given_back internal/job/held.go \
-	'defer leave()' '_ = leave' internal/job TestHeldSubmissionEndsWithItsCaller
+	'defer leave()' '_ = leave' internal/job TestBufferedSubmissionEndsWithCaller
 mutant not_held internal/job/accept.go \
-	'wasHeld, err := s.holdWhileAway(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestJobsOfAnOutageAreAcceptedBehindIt
+	'wasHeld, err := s.holdWhileAway(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestBufferedJobsAreAcceptedAfterOutage
 mutant left_whatever_the_route internal/serving/silence.go \
 	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestWhatMayRunOnceIsNeverLeft
 mutant silence_without_budget internal/serving/silence.go \
@@ -26,6 +26,6 @@
 mutant left_early_in_vain internal/watchdog/watchdog.go \
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
-	'	if wasUnderWay {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
+	'	if wasUnderWay {' '	if false {' internal/job TestCanceledBufferedSubmissionDoesNotRun
 mutant holds_outlive_their_daemon internal/job/held.go \
-	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestHeldSubmissionsEndWithTheirDaemon
+	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestStopFailsBufferedSubmissions
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -113,15 +113,15 @@
 	}
 	for index' 'Conditions: []table.Condition{},
 	}
-	for index' internal/job TestOwnerThatHearsNothingCommitsNothingAfterTheEnd
+	for index' internal/job TestOwnerWithoutWatchCommitsNothingAfterCancel
 mutant no_end_check_at_takeover internal/job/owned.go \
-	's.followed >= version && s.claims[id].version != version' 'false' internal/job TestJobEndedDuringTakeoverIsNotRun
+	's.followed >= version && s.claims[id].version != version' 'false' internal/job TestJobCanceledDuringTakeoverIsNotRun
 mutant job_taken_up_again internal/job/owned.go \
-	'if reason.isClaimGone() {' 'if false {' internal/job TestJobKnownToBeOverIsNotTakenUpAgain
+	'if reason.isClaimGone() {' 'if false {' internal/job TestFinishedJobIsNotOwnedAgain
 mutant end_forgotten_with_its_caller internal/job/ending.go \
-	's.startEnd(key, found, endTime, func(ctx context.Context) error {' 's.startEnd(key, found, endTime, func(context.Context) error {' internal/job TestEndOutlivesItsCaller
+	's.startEnd(key, found, endTime, func(ctx context.Context) error {' 's.startEnd(key, found, endTime, func(context.Context) error {' internal/job TestCancelContinuesWithoutCaller
 mutant old_claims_believed internal/job/permit.go \
-	'const claimsAgeLimit = 2 * time.Second' 'const claimsAgeLimit = time.Hour' internal/job TestOwnerThatHearsNothingStartsNoItemsAfterTheEnd
+	'const claimsAgeLimit = 2 * time.Second' 'const claimsAgeLimit = time.Hour' internal/job TestStaleClaimsBlockNewItems
 mutant age_noted_before_the_rows internal/table/follower.go \
 	'f.Consumer.Change(changes.Rows, changes.Version)
 	f.seen' 'f.noteStore(f.Now())
@@ -132,9 +132,9 @@
 mutant no_look_before_the_first_byte platform/runner.go \
 	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
 mutant promise_unsettled internal/job/accept.go \
-	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
+	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNotReportedNotRun
 mutant no_checkpoint internal/job/owned.go \
-	'begun.progress.restore(earlier.checkpoints[item.ID])' '' internal/job TestNextOwnerGoesOnAtTheCheckpoint
+	'begun.progress.restore(earlier.checkpoints[item.ID])' '' internal/job TestNextOwnerResumesAtCheckpoint
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
@@ -155,11 +155,11 @@
 mutant no_draw internal/routing/cost.go \
 	'return *draw(model.preferred(near), random), true' 'return *near[0].candidate, true' internal/routing TestChoicesFromOnePictureSpread
 mutant no_quota_window internal/job/pacing.go \
-	'if now.Sub(p.since) < window {' 'if false {' internal/job TestOwnersDoNotPlaceTwiceIntoTheSameRoom
+	'if now.Sub(p.since) < window {' 'if false {' internal/job TestOwnersDoNotOverfillWithinWindow
 mutant no_failure_count internal/job/progress.go \
-	'p.failures, p.savedFailures = from.Failures, from.Failures' '' internal/job TestFailuresAreCountedOverOwners
+	'p.failures, p.savedFailures = from.Failures, from.Failures' '' internal/job TestFailureCountSurvivesTakeover
 mutant no_settling internal/job/dispatch.go \
-	'if isStopping || !isSettled ||' 'if isStopping || !isSettled && false ||' internal/job TestItemsWaitUntilOthersWorkIsKnown
+	'if isStopping || !isSettled ||' 'if isStopping || !isSettled && false ||' internal/job TestItemsWaitForPeerLoads
 mutant no_shared_versions internal/frontend/frontend.go \
 	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsAreNoticedByWhatOthersSaw
 mutant no_total_condition internal/quota/plan.go \
@@ -171,9 +171,9 @@
 mutant no_newest_limit internal/quota/plan.go \
 	'if limit.Config >= t.Config {' 'if true {' internal/quota TestNewerLimitHoldsForDaemonsThatDoNotKnowIt
 mutant release_of_earlier_tries internal/job/waiting.go \
-	'if !held.isNew {' 'if !held.isBounded() {' internal/job TestRefusedTryKeepsTheReservationOfAnUnsettledOne
+	'if !held.isNew {' 'if !held.isBounded() {' internal/job TestRefusedAttemptKeepsUnsettledReservation
 mutant no_void_condition internal/job/accept.go \
-	', {Table: tableVoid, Key: submitted.ID, Version: held.voided}' '' internal/job 'TestReservationOfADeadDaemonIsSwept|TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun'
+	', {Table: tableVoid, Key: submitted.ID, Version: held.voided}' '' internal/job 'TestReservationOfStoppedDaemonIsSwept|TestCancelBeforeAcceptancePreventsRun'
 mutant resent_counts_twice internal/quota/plan.go \
 	'isNew := held.Tokens == 0' 'isNew := true' internal/quota TestReleaseSparesALaterHolder
 mutant no_place internal/serving/exchange.go \
@@ -184,7 +184,7 @@
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isCrowded && known.batch > 0 {' 'if false {' internal/backend TestOwnerHearsAtOnceOfWaitingOnlineRequests
 mutant items_queue internal/job/pacing.go \
-	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsEnterNoFullService
+	'candidate.Closed || candidate.Waiting > 0' 'candidate.Closed' internal/job TestItemsAvoidFullBackends
 mutant no_pace internal/table/follower.go \
 	'return errors.WithStack(f.Pace.Wait(ctx))' 'return nil' internal/table TestPacedFollowerAsksLessOftenAndMissesNothing
 mutant no_forwarding internal/table/forwarding.go \
@@ -200,15 +200,15 @@
 mutant no_preemption internal/serving/await.go \
 	'		e.preemptAt(chosen)' '' internal/serving TestWaitingRequestPreemptsItems
 mutant no_pause_after_giving_way internal/job/dispatch.go \
-	'	s.placer.pause(now.Add(givenWayPause))' '' internal/job 'TestOwnerThatGaveWaySendsNothingForAWhile|TestPauseAfterGivingWayInVirtualTime'
+	'	s.placer.pause(now.Add(givenWayPause))' '' internal/job 'TestOwnerPausesAfterPreemption|TestPauseAfterPreemptionVirtualTime'
 mutant queues_without_waiting internal/serving/exchange.go \
 	'if e.mustAwaitPlace() {' 'if false {' internal/serving TestRequestWithoutAPlaceQueuesInTheEnd
 mutant late_drop internal/job/owned.go \
-	'if s.owned[o.job.ID] == o {' 'if true {' internal/job TestLateGoroutineDropsNoNewerOwnership
+	'if s.owned[o.job.ID] == o {' 'if true {' internal/job TestStaleOwnershipDropKeepsNewOwnership
 mutant no_give_back internal/job/takeover.go \
-	's.giveBack(ctx, id, claimed)' '' internal/job TestJobThatADaemonCannotReadGoesToAnother
+	's.giveBack(ctx, id, claimed)' '' internal/job TestUnreadableJobGoesToAnotherDaemon
 mutant excess_answered_at_every_look internal/job/yielding.go \
-	'answered.left = min(answered.left, excess)' 'answered.left = 0' internal/job TestOwnersGiveWayOnceForOneExcess
+	'answered.left = min(answered.left, excess)' 'answered.left = 0' internal/job TestOwnersAnswerExcessOnce
 mutant key_passed_on platform/runner.go \
 	'headerTenant, headerKey:' 'headerTenant:' platform TestNoKeyLeavesWithAnAttempt
 mutant callers_tenant_believed platform/runner.go \
@@ -254,15 +254,15 @@
 mutant stray_refusal_believed platform/runner.go \
 	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
 mutant pursued_end_promised internal/job/ending.go \
-	'return endUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledEndIsNeverPromisedNotDone
+	'return endUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledCancelIsNotReportedNotDone
 mutant unsettled_end_promised internal/job/ending.go \
-	'		if isUnsettled {' '		if false {' internal/job TestUnsettledEndOfADaemonThatStopsIsNeverPromisedNotDone
+	'		if isUnsettled {' '		if false {' internal/job TestUnsettledCancelAtStopIsNotReportedNotDone
 mutant first_claims_not_awaited internal/job/firstclaims.go \
-	'if isRead || s.claimsAge()' 'if true || isRead || s.claimsAge()' internal/job TestCallMeetsADaemonThatHasJustStarted
+	'if isRead || s.claimsAge()' 'if true || isRead || s.claimsAge()' internal/job TestCallWaitsForFirstClaims
 mutant return_not_asked_for internal/job/held.go \
-	'	case s.availability.Recheck(ctx):' '	case false:' internal/job TestLargeSubmissionBehindAnUnnoticedReturn
+	'	case s.availability.Recheck(ctx):' '	case false:' internal/job TestLargeSubmissionAcceptedAfterStoreRecovery
 mutant resent_job_refused_blindly internal/job/accept.go \
-	'			refused = outcomeUnknown(err)' '' internal/job TestResentJobIsNotRefusedUnlessItIsKnownToBeNew
+	'			refused = outcomeUnknown(err)' '' internal/job TestResubmittedJobIsRefusedOnlyIfNew
 mutant spilled_after_an_attempt internal/gateway/completions.go \
 	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestRequestThatMayHaveRunGoesToNoOtherZone
 mutant crash_alone_quarantines internal/quarantine/ledger.go \
@@ -329,7 +329,7 @@
 mutant items_not_checked platform/jobs.go \
 	'return item, item.Check()' 'return item, nil' platform TestJobCarriesNoSecondRequest
 mutant stored_items_not_checked internal/job/dispatch.go \
-	'	if waiting.malformed != nil {' '	if false {' internal/job TestStoredItemThatIsNoRequestIsGivenUp/path
+	'	if waiting.malformed != nil {' '	if false {' internal/job TestMalformedStoredItemIsAbandoned/path
 mutant readers_not_asked internal/job/attempt.go \
 	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackendThatStandsStillReadsNoItemsOfEndedJobs
 mutant hop_fields_passed_on platform/requests.go \
@@ -339,26 +339,26 @@
 mutant file_ids_are_paths internal/gateway/files.go \
 	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
 mutant wanted_end_not_told internal/job/handover.go \
-	'if !isOpen ||' 'if isOpen ||' internal/job TestOwnerPursuesTheEndThatADaemonTookAndDied
+	'if !isOpen ||' 'if isOpen ||' internal/job TestOwnerContinuesCancelAfterReceiverStops
 mutant successor_not_told internal/job/handover.go \
-	'told = s.peers.Successor(key.job)' 'told = ""' internal/job TestEndOutlivesTheOwnerThatTookIt
+	'told = s.peers.Successor(key.job)' 'told = ""' internal/job TestCancelAtOwnerContinuesAfterOwnerStops
 mutant unknown_job_not_told internal/job/handover.go \
-	'if !isOpen || told == s.self.Name' 'if told == s.self.Name' internal/job TestEndOfAJobThatIsNotKnownYetOutlivesItsTaker
+	'if !isOpen || told == s.self.Name' 'if told == s.self.Name' internal/job TestCancelOfUnknownJobContinuesAfterReceiverStops
 mutant next_owner_not_told internal/job/ending.go \
 	'	s.tellOwner(ctx, key)
-	return pause.sleep(ctx)' '	return pause.sleep(ctx)' internal/job TestNextOwnerIsToldOfAWantedEnd
+	return pause.sleep(ctx)' '	return pause.sleep(ctx)' internal/job TestCancelRequestReachesNextOwner
 mutant wanted_end_begins_anew internal/job/handover.go \
-	'min(wanted.Remaining, endTime)' 'endTime' internal/job TestWantedEndLastsNoLongerThanWhereItWasTaken
+	'min(wanted.Remaining, endTime)' 'endTime' internal/job TestForwardedCancelRequestExpires
 mutant early_end_forgotten internal/job/ending.go \
-	'return versionedClaim{}, s.voidForEnd(ctx, key)' 'return versionedClaim{}, err' internal/job TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun
+	'return versionedClaim{}, s.voidForEnd(ctx, key)' 'return versionedClaim{}, err' internal/job TestCancelBeforeAcceptancePreventsRun
 mutant early_end_not_refused internal/job/accept.go \
-	'if tries > 1 && ' 'if false && ' internal/job TestSubmissionUnderWayIsRefusedByTheEndOfItsJob
+	'if tries > 1 && ' 'if false && ' internal/job TestCancelRefusesPendingSubmission
 mutant early_end_refuses_for_ever internal/job/accept.go \
-	'if tries > 1 && ' 'if ' internal/job TestJobThatWasEndedBeforeItsAcceptanceDoesNotRun
+	'if tries > 1 && ' 'if ' internal/job TestCancelBeforeAcceptancePreventsRun
 mutant early_end_of_any_tenant internal/job/void.go \
-	'v.IsEnded && mayAccess(tenant, v.Tenant)' 'v.IsEnded' internal/job TestEndOfAnotherTenantVoidsNoAcceptance
+	'v.IsEnded && mayAccess(tenant, v.Tenant)' 'v.IsEnded' internal/job TestOtherTenantsCancelKeepsPendingSubmission
 mutant void_once_only internal/job/void.go \
-	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
+	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfEarlyCanceledJobIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
 	'e.noteSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
