--- a/test/mutants.d/batchroom.sh
+++ b/test/mutants.d/batchroom.sh
@@ -15,10 +15,10 @@
 mutant batch_excess_rise internal/batchcapacity/excess.go \
 	'load.Online += observed.Demand.Rise(observed.Age)' '' internal/batchcapacity TestExcessFollowsOnlineRise
 mutant batch_gives_once internal/job/capacitytracker.go \
-	'known.preempted < known.toPreempt ||' 'known.toPreempt > 0 ||' internal/job TestOwnersGiveTheirPartOfAnExcessOnce
+	'known.preempted < known.toPreempt ||' 'known.toPreempt > 0 ||' internal/job TestOwnersPreemptTheirShareOnce
 mutant batch_shortage_not_seen internal/job/capacitytracker.go \
-	' || known.declined >= maxDeclined' '' internal/job TestItemsGiveWayToAShortageThatIsNotSeen
+	' || known.declined >= maxDeclined' '' internal/job TestItemsPreemptedAfterRepeatedRequests
 mutant batch_items_stay internal/job/capacitytracker.go \
-	'if known.preempted < known.toPreempt' 'if true || known.preempted < known.toPreempt' internal/job 'TestItemsStepAsideOnce|TestItemsGiveWayToAShortageThatIsNotSeen'
+	'if known.preempted < known.toPreempt' 'if true || known.preempted < known.toPreempt' internal/job 'TestPreemptionsPerItemAreBounded|TestItemsPreemptedAfterRepeatedRequests'
 mutant batch_excess_must_stand internal/job/preemption.go \
-	'if !hasFreeSlots || batchExcess(candidate) == 0 {' 'if true {' internal/job TestExcessMustStandWhereThereIsRoom
+	'if !hasFreeSlots || batchExcess(candidate) == 0 {' 'if true {' internal/job TestExcessMustPersistWithFreeSlots
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -8,9 +8,9 @@
 mutant hold_without_bound internal/submissionbuffer/submissionbuffer.go \
 	'b.bytes+reserved > b.limits.Bytes' 'false' internal/submissionbuffer TestSmallDaemonsBufferLittle
 mutant held_memory_not_given_back internal/job/buffering.go \
-	'defer remove()' '_ = remove' internal/job TestHeldSubmissionEndsWithItsCaller
+	'defer remove()' '_ = remove' internal/job TestBufferedSubmissionEndsWithCaller
 mutant not_held internal/job/accept.go \
-	'wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestJobsOfAnOutageAreAcceptedBehindIt
+	'wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestBufferedJobsAreAcceptedAfterOutage
 mutant left_whatever_the_route internal/serving/timeout.go \
 	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestUnrepeatableAttemptIsNotEnded
 mutant silence_without_budget internal/serving/timeout.go \
@@ -26,6 +26,6 @@
 mutant left_early_in_vain internal/watchdog/watchdog.go \
 	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
 mutant held_job_runs_after_its_end internal/job/accept.go \
-	'	if wasTried {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
+	'	if wasTried {' '	if false {' internal/job TestCanceledBufferedSubmissionDoesNotRun
 mutant holds_outlive_their_daemon internal/job/buffering.go \
-	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestHeldSubmissionsEndWithTheirDaemon
+	'	defer context.AfterFunc(s.stopped, cancel)()' '' internal/job TestStopFailsBufferedSubmissions
