--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -11,7 +11,7 @@
 	"topazpulley/internal/failure"
 )
 
-// batchRequest asks for a job.
+// batchRequest is the body of a request to create a batch job.
 type batchRequest struct {
 	InputFileID      string            `json:"input_file_id"`
 	Endpoint         string            `json:"endpoint"`
@@ -52,7 +52,7 @@
 	statusReadTimeout = 5 * time.Second
 )
 
-// statusNames maps job states to OpenAI's.
+// statusNames maps job states to OpenAI's status names.
 var statusNames = map[batch.State]string{
 	batch.StateRunning:   "in_progress",
 	batch.StateCancelled: "cancelled",
@@ -87,7 +87,7 @@
 	}
 	accepted, err := c.gateway.Store.Create(ctx, job, digest)
 	if failure.Is(err, failure.KindUnavailable) {
-		c.gateway.writeFailure(c.call, c.gateway.unsettledJob(err))
+		c.gateway.writeFailure(c.call, c.gateway.unconfirmedJob(err))
 		return
 	}
 	if err != nil {
@@ -99,9 +99,9 @@
 	c.answerJob(accepted, nil)
 }
 
-// unsettledJob answers when the commit of a job could not be confirmed: the
-// job may or may not exist, and a resend with the same key settles it.
-func (g *Gateway) unsettledJob(err error) error {
+// unconfirmedJob returns the error for a job whose commit was not confirmed. The job
+// may exist; sending it again with the same key is safe.
+func (g *Gateway) unconfirmedJob(err error) error {
 	return failure.Wrap(err, failure.KindUnavailable, "job_not_confirmed", "the platform did not confirm the job: send it again with the same Idempotency-Key").WithRetryAfter(noEngineRetry)
 }
 
@@ -111,7 +111,8 @@
 	g.Coordinator.Notify(ctx, id)
 }
 
-// prepareJob checks the request and its input file.
+// prepareJob checks the request and its input file. It returns the job, the digest of
+// its content and its manifest.
 func (c *caller) prepareJob() (batch.Job, string, batch.Manifest, error) {
 	body := batchRequest{}
 	if err := decodeBody(c.call, &body); err != nil {
@@ -151,7 +152,7 @@
 
 func completionWindow(body batchRequest) (time.Duration, error) {
 	if len(body.Metadata) > maxMetadata {
-		return 0, failure.New(failure.KindInvalid, "too_much_metadata", "metadata holds at most %d entries", maxMetadata)
+		return 0, failure.New(failure.KindInvalid, "too_much_metadata", "metadata has at most %d entries", maxMetadata)
 	}
 	if body.CompletionWindow == "" {
 		return defaultWindow, nil
@@ -166,7 +167,7 @@
 func (c *caller) readInput(body batchRequest) (batch.Input, error) {
 	ctx, cancel := context.WithTimeout(c.gateway.lifetime, readInputTimeout)
 	defer cancel()
-	content, err := c.uploaded(ctx, body.InputFileID)
+	content, err := c.readUpload(ctx, body.InputFileID)
 	if failure.Is(err, failure.KindNotFound) {
 		return batch.Input{}, failure.New(failure.KindNotFound, "no_file", "file %q does not exist: upload it first", body.InputFileID)
 	}
@@ -176,7 +177,8 @@
 	return batch.ParseInput(content, body.Endpoint)
 }
 
-// serviceOf returns the one service that serves all models of an input.
+// serviceOf returns the service that serves all models of an input. It fails if
+// they belong to several services.
 func (c *caller) serviceOf(input batch.Input) (string, error) {
 	service := ""
 	for _, model := range input.Models {
@@ -227,8 +229,8 @@
 	c.answerJob(job, chunks)
 }
 
-// answerJob describes a job. The chunks give the counts of one that is not
-// done.
+// answerJob answers with the description of a job. The chunks supply the request
+// counts of a job that is not done.
 func (c *caller) answerJob(job batch.Job, chunks []batch.Chunk) {
 	counts := batchCounts{Total: job.Items, Completed: job.Completed, Failed: job.Failed}
 	for _, chunk := range chunks {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	roomPollInterval = 5 * time.Millisecond
-	hintInterval     = 50 * time.Millisecond
+	capacityPollInterval = 5 * time.Millisecond
+	hintInterval         = 50 * time.Millisecond
 )
 
-// choose picks an engine, waiting up to the queue timeout for one with room.
+// choose picks an engine. It waits up to the queue timeout for one with free
+// capacity.
 func (n *generation) choose(ctx context.Context) (registry.Engine, error) {
-	patience := time.Now().Add(time.Duration(n.request.policy.QueueTimeout))
+	queueDeadline := time.Now().Add(time.Duration(n.request.policy.QueueTimeout))
 	for {
 		view, found, anyServing := n.gateway.route(n.request, n.excluded)
 		if found {
@@ -29,19 +30,19 @@
 		if !anyServing && n.attempt == 0 {
 			return view, n.ran.Refuse(failure.New(failure.KindUnavailable, codeNoEngine, "no engine in zone %s serves this", n.gateway.Settings.Zone).WithRetryAfter(noEngineRetry))
 		}
-		if hasLeft(ctx) {
-			return view, n.expired(ctx, context.Cause(ctx))
+		if hasCallerLeft(ctx) {
+			return view, n.endedError(ctx, context.Cause(ctx))
 		}
-		if time.Now().After(patience) || ctx.Err() != nil {
+		if time.Now().After(queueDeadline) || ctx.Err() != nil {
 			n.overloaded = true
-			return view, n.giveUp(codeEnginesFull, "every engine is at its limit")
+			return view, n.overloadedError(codeEnginesFull, "every engine is at its limit")
 		}
-		time.Sleep(roomPollInterval)
+		time.Sleep(capacityPollInterval)
 	}
 }
 
-// route chooses among the zone's engines of a service. anyServing tells whether
-// some engine could serve the request if it had room.
+// route chooses among the zone's engines of a service. anyServing reports whether
+// some engine could serve the request if it had free capacity.
 func (g *Gateway) route(request onlineRequest, excluded map[string]bool) (view registry.Engine, found, anyServing bool) {
 	engines := g.Registry.OfService(request.service)
 	query := routing.Request{Model: request.model, PrefixHash: request.prefixHash, OnlineLimit: request.policy.OnlineLimit, Excluded: excluded}
@@ -60,9 +61,10 @@
 	return view, false, len(routing.Eligible(query, engines, now)) > 0
 }
 
-// hintYield tells the engine's supervisor of the request ahead of the engine's
-// lagging report, if the engine runs batch work.
-func (g *Gateway) hintYield(view registry.Engine) {
+// sendYieldHint notifies the engine's supervisor of the request before the engine's
+// next load report, if the engine runs batch work. An engine gets at most one hint
+// per hintInterval.
+func (g *Gateway) sendYieldHint(view registry.Engine) {
 	if g.WithoutHints || (view.Load.Batch == 0 && view.Load.BatchWindow == 0) {
 		return
 	}
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -19,14 +19,14 @@
 	"topazpulley/internal/routing"
 )
 
-// completionRequest is the part of an OpenAI request that the system reads.
+// completionRequest contains the fields of an OpenAI request that the gateway reads.
 type completionRequest struct {
 	batch.ItemBody
 	MaxCompletionTokens int  `json:"max_completion_tokens"`
 	Stream              bool `json:"stream"`
 }
 
-// streamChunk is one server-sent chunk of an OpenAI answer.
+// streamChunk is one chunk of a streamed OpenAI answer.
 type streamChunk struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -58,8 +58,8 @@
 	outcomeCompleted = "completed"
 )
 
-// complete answers a completion or chat completion. It returns true when a
-// stream writer has taken over.
+// complete answers a completion or chat completion. It returns true if a stream
+// writer will call finish.
 func (c *caller) complete() bool {
 	request, stream, deadline, err := c.parseCompletion()
 	if err != nil {
@@ -82,21 +82,23 @@
 		return c.startStream(ctx, cancel, run)
 	}
 	defer cancel()
-	c.answerWhole(ctx, run)
+	c.answerComplete(ctx, run)
 	return false
 }
 
-// mayBeServedElsewhere reports whether a request that was given up here goes to
-// another zone: no engine of this one can serve it, and it has not run here. What
-// another zone's daemon says of it, such as "not run", is said of its own attempts.
-func mayBeServedElsewhere(err error) bool {
+// canForward reports whether a request that failed with err may be forwarded to
+// another zone: no engine of this zone can serve it, and it has not run here. The
+// answer of the other zone, such as "not run", covers only attempts made there.
+func canForward(err error) bool {
 	isUnserved := failure.HasCode(err, codeNoEngine) || failure.HasCode(err, codeEnginesFull)
 	return isUnserved && failure.From(err).NotRun
 }
 
-// refuse answers a request that could not begin.
+// refuse forwards a request that could not start to another zone if possible, and
+// otherwise answers it with the error. It always returns false: no stream writer is
+// started.
 func (c *caller) refuse(request onlineRequest, err error) bool {
-	if mayBeServedElsewhere(err) && c.spill(request.service) {
+	if canForward(err) && c.spill(request.service) {
 		return false
 	}
 	c.gateway.countOutcome(request.service, err)
@@ -147,7 +149,7 @@
 
 func (g *Gateway) refuseWhenCutOff(service bundle.Service) error {
 	if service.RefuseWhenCutOff && g.isCutOff() {
-		return failure.New(failure.KindUnavailable, "cut_off", "this daemon cannot confirm its configuration and the service demands it").WithNotRun().WithRetryAfter(noEngineRetry)
+		return failure.New(failure.KindUnavailable, "cut_off", "this daemon cannot confirm its configuration and the service requires that").WithNotRun().WithRetryAfter(noEngineRetry)
 	}
 	return nil
 }
@@ -155,11 +157,11 @@
 func checkCompletion(body completionRequest, path string) *failure.Error {
 	switch {
 	case body.Model == "":
-		return failure.New(failure.KindInvalid, "no_model", "name a model")
+		return failure.New(failure.KindInvalid, "no_model", "model is required")
 	case path == batch.EndpointCompletions && len(body.Prompt) == 0:
-		return failure.New(failure.KindInvalid, "no_prompt", "give a prompt")
+		return failure.New(failure.KindInvalid, "no_prompt", "prompt is required")
 	case path == batch.EndpointChatCompletions && len(body.Messages) == 0:
-		return failure.New(failure.KindInvalid, "no_messages", "give messages")
+		return failure.New(failure.KindInvalid, "no_messages", "messages are required")
 	case body.MaxTokens < 0 || body.MaxTokens > batch.MaxTokens:
 		return failure.New(failure.KindInvalid, "bad_max_tokens", "max_tokens must be from 1 to %d", batch.MaxTokens)
 	}
@@ -173,12 +175,13 @@
 func idempotencyKey(call *fasthttp.RequestCtx) (string, error) {
 	key := string(call.Request.Header.Peek(HeaderIdempotencyKey))
 	if len(key) > maxKeyLength {
-		return "", failure.New(failure.KindInvalid, "bad_idempotency_key", "an Idempotency-Key holds at most %d bytes", maxKeyLength).WithNotRun()
+		return "", failure.New(failure.KindInvalid, "bad_idempotency_key", "an Idempotency-Key has at most %d bytes", maxKeyLength).WithNotRun()
 	}
 	return key, nil
 }
 
-// requestDeadline reads the caller's relative deadline or takes the policy's.
+// requestDeadline returns the deadline that the caller sent, in milliseconds from
+// now, or else the policy's.
 func requestDeadline(call *fasthttp.RequestCtx, policy bundle.Policy, now time.Time) (time.Time, error) {
 	header := string(call.Request.Header.Peek(HeaderDeadline))
 	if header == "" {
@@ -191,7 +194,7 @@
 	return now.Add(time.Duration(millis) * time.Millisecond), nil
 }
 
-// run is a request that has been let in and whose first event has arrived.
+// run is an admitted request whose first event has arrived.
 type run struct {
 	gateway *Gateway
 	request onlineRequest
@@ -202,14 +205,15 @@
 	store   func(ctx context.Context, tokens []string, end engine.Event)
 }
 
-// eventSource yields the events of an answer: a generation or a stored result.
+// eventSource returns the events of an answer: a generation, a resumed attempt or a
+// stored answer.
 type eventSource interface {
 	next(ctx context.Context) (engine.Event, error)
 	close()
 }
 
-// begin admits a request and waits for its first event, so that failures
-// before it get a proper status.
+// begin admits a request and waits for its first event, so that a failure before
+// it is answered with an HTTP error status.
 func (g *Gateway) begin(ctx context.Context, request onlineRequest, key string, deadline time.Time) (*run, error) {
 	stored, found, err := g.storedAnswer(ctx, request, key)
 	if err != nil {
@@ -223,24 +227,24 @@
 		return nil, err
 	}
 	source := g.newGeneration(request, g.recorderFor(request, key))
-	begun := &run{gateway: g, request: request, source: source, store: g.storerFor(request, key)}
-	begun.finish = func(err error) {
+	started := &run{gateway: g, request: request, source: source, store: g.storerFor(request, key)}
+	started.finish = func(err error) {
 		source.close()
 		admitted.release(source, err)
 		g.countOutcome(request.service, err)
 	}
-	begun.first, err = source.next(ctx)
+	started.first, err = source.next(ctx)
 	if err != nil {
 		source.close()
 		admitted.release(source, err)
 		return nil, err
 	}
-	return begun, nil
+	return started, nil
 }
 
-// admittance is what a request was granted: room within its tenant's limit and
-// concurrency, and within the service's adaptive limit.
-type admittance struct {
+// admittedRequest is a request that passed its tenant's rate limit and concurrency
+// limit and the service's adaptive limit.
+type admittedRequest struct {
 	gateway *Gateway
 	request onlineRequest
 	limiter *admission.Limiter
@@ -248,47 +252,49 @@
 	granted ratelimit.Decision
 }
 
-// admit passes the tenant's and the service's limits. After a nil error the
+// admit applies the tenant's and the service's limits. If it returns no error, the
 // caller must call release.
-func (g *Gateway) admit(ctx context.Context, request onlineRequest, deadline time.Time) (admittance, error) {
+func (g *Gateway) admit(ctx context.Context, request onlineRequest, deadline time.Time) (admittedRequest, error) {
 	current, active := g.Holder.Current()
 	concurrency := 0
 	if active != nil {
 		concurrency = active.Tenants[request.tenant].Concurrency
 	}
 	if err := g.inUse.Acquire(request.tenant, concurrency); err != nil {
-		return admittance{}, err
+		return admittedRequest{}, err
 	}
-	made := admittance{gateway: g, request: request, limiter: g.limiter(request.service, request.policy)}
-	made.limit = ratelimit.Limit{Limit: request.limit, Config: current.Number}
-	made.granted = g.Limits.Admit(ctx, request.tenant, made.limit)
-	if !made.granted.IsAdmitted {
+	admitted := admittedRequest{gateway: g, request: request, limiter: g.limiter(request.service, request.policy)}
+	admitted.limit = ratelimit.Limit{Limit: request.limit, Config: current.Number}
+	admitted.granted = g.Limits.Admit(ctx, request.tenant, admitted.limit)
+	if !admitted.granted.IsAdmitted {
 		g.inUse.Release(request.tenant)
-		return admittance{}, failure.New(failure.KindOverloaded, "tenant_rate", "the tenant is above %.3g requests a second: slow down", request.limit.PerSecond).
-			WithNotRun().WithRetryAfter(made.granted.RetryAfter)
+		return admittedRequest{}, failure.New(failure.KindOverloaded, "tenant_rate", "the tenant is above %.3g requests a second: slow down", request.limit.PerSecond).
+			WithNotRun().WithRetryAfter(admitted.granted.RetryAfter)
 	}
-	if err := made.limiter.Acquire(ctx, time.Now(), deadline); err != nil {
-		made.giveBack(err)
-		return admittance{}, err
+	if err := admitted.limiter.Acquire(ctx, time.Now(), deadline); err != nil {
+		admitted.returnGrants(err)
+		return admittedRequest{}, err
 	}
-	return made, nil
+	return admitted, nil
 }
 
-// release ends the admission of a request that ended with an error, or nil.
-func (a admittance) release(source *generation, err error) {
+// release ends the admission of a request. err is the error that the request
+// failed with, or nil.
+func (a admittedRequest) release(source *generation, err error) {
 	a.limiter.Release(time.Now(), source.firstToken, time.Since(a.request.arrived), source.overloaded)
-	a.giveBack(err)
+	a.returnGrants(err)
 }
 
-// giveBack returns what a request that never ran was granted of its limit.
-func (a admittance) giveBack(err error) {
+// returnGrants releases the tenant's concurrency. If the request did not run, it also
+// returns the request to the tenant's rate limit.
+func (a admittedRequest) returnGrants(err error) {
 	a.gateway.inUse.Release(a.request.tenant)
 	if err != nil && failure.From(err).NotRun {
 		a.gateway.Limits.Return(a.granted, a.request.tenant, a.limit)
 	}
 }
 
-// limiter returns the service's limiter, whose maximum is the capacity of the
+// limiter returns the service's limiter. Its maximum is the online capacity of the
 // zone's engines.
 func (g *Gateway) limiter(service string, policy bundle.Policy) *admission.Limiter {
 	capacity := len(g.Registry.OfService(service)) * policy.OnlineLimit
@@ -308,7 +314,7 @@
 	return limiter
 }
 
-func (c *caller) answerWhole(ctx context.Context, run *run) {
+func (c *caller) answerComplete(ctx context.Context, run *run) {
 	end, err := run.collect(ctx)
 	if err == nil {
 		run.store(ctx, run.tokens, end)
@@ -322,7 +328,7 @@
 	c.call.SetBody(batch.CompletionBody(c.path, run.request.id, run.request.model, run.tokens, end))
 }
 
-// collect reads the answer to its end.
+// collect reads the complete answer and returns its end event.
 func (r *run) collect(ctx context.Context) (engine.Event, error) {
 	event := r.first
 	for !event.End {
@@ -335,8 +341,8 @@
 	return event, nil
 }
 
-// startStream sends the answer as server-sent events. A caller that leaves
-// ends the generation.
+// startStream sends the answer as server-sent events. The generation ends when the
+// caller disconnects.
 func (c *caller) startStream(ctx context.Context, cancel context.CancelFunc, run *run) bool {
 	finish := c.finish
 	writer := chunkWriter{id: run.request.id, model: run.request.model, chat: c.path == batch.EndpointChatCompletions, created: time.Now().Unix()}
@@ -345,7 +351,7 @@
 	c.streamBody(func(output *bufio.Writer) error {
 		defer finish()
 		defer cancel()
-		// A stream that failed ends with its failure and without the end marker.
+		// A failed stream ends with its error and without the [DONE] marker.
 		run.finish(run.stream(ctx, output, writer))
 		return nil
 	})
@@ -373,7 +379,7 @@
 	}
 }
 
-// chunkWriter renders chunks for one answer.
+// chunkWriter writes the chunks of one answer.
 type chunkWriter struct {
 	id      string
 	model   string
@@ -410,7 +416,7 @@
 	_ = output.Flush()
 }
 
-// failure ends a stream with a typed error and without the end marker.
+// failure ends a stream with a typed error and without the [DONE] marker.
 func (w chunkWriter) failure(output *bufio.Writer, err error) {
 	writeEvent(output, ErrorBody{Error: failure.From(err)})
 	_ = output.Flush()
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -33,8 +33,8 @@
 	Purpose   string `json:"purpose"`
 }
 
-// files handles uploads and reads. It returns true when a stream writer has
-// taken over.
+// files handles uploads and reads. It returns true if a stream writer will call
+// finish.
 func (c *caller) files(rest string) bool {
 	switch {
 	case rest == "" && c.call.IsPost():
@@ -69,7 +69,8 @@
 	writeJSON(c.call, fileObject{ID: id, Object: "file", Bytes: len(content), CreatedAt: time.Now().Unix(), Filename: name, Purpose: purposeBatch})
 }
 
-// fileContent reads the file of a multipart form, or the bare body.
+// fileContent returns the content and the name of the file in a multipart form, or
+// the request body if it is not a form.
 func (c *caller) fileContent() ([]byte, string, error) {
 	if !strings.HasPrefix(string(c.call.Request.Header.ContentType()), "multipart/form-data") {
 		return append([]byte(nil), c.call.PostBody()...), "upload.jsonl", nil
@@ -95,7 +96,8 @@
 	writeJSON(c.call, fileObject{ID: id, Object: "file", Filename: id + ".jsonl", Purpose: purposeBatch})
 }
 
-// readFile sends an uploaded file or a job's results.
+// readFile sends an uploaded file or a job's results. It returns true if a stream
+// writer will call finish.
 func (c *caller) readFile(id string) bool {
 	for _, prefix := range []string{outputFilePrefix, errorFilePrefix} {
 		if job, isResults := strings.CutPrefix(id, prefix); isResults {
@@ -104,7 +106,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.gateway.lifetime, recordTimeout)
 	defer cancel()
-	content, err := c.uploaded(ctx, id)
+	content, err := c.readUpload(ctx, id)
 	if err != nil {
 		c.gateway.writeFailure(c.call, err)
 		return false
@@ -114,9 +116,9 @@
 	return false
 }
 
-// uploaded reads a file of the caller's tenant. Ids are given out here; one of
-// another form, such as a path, names no file.
-func (c *caller) uploaded(ctx context.Context, id string) ([]byte, error) {
+// readUpload reads an uploaded file of the caller's tenant. An id that uploadFile
+// cannot have issued, such as a path, does not exist.
+func (c *caller) readUpload(ctx context.Context, id string) ([]byte, error) {
 	given, hasPrefix := strings.CutPrefix(id, filePrefix)
 	if _, err := ulid.ParseStrict(given); err != nil || !hasPrefix {
 		return nil, failure.New(failure.KindNotFound, "no_file", "file %q does not exist: upload it first", id).WithNotRun()
@@ -124,8 +126,9 @@
 	return c.gateway.Platform.GetObject(ctx, batch.FileObject(c.tenant, id))
 }
 
-// readResults streams the committed results of a job: the completed items or
-// the failed ones.
+// readResults streams the committed results of a job: the completed items, or the
+// failed ones if wantErrors is set. It returns true if a stream writer will call
+// finish.
 func (c *caller) readResults(id string, wantErrors bool) bool {
 	if _, err := c.ownJob(id); err != nil {
 		c.gateway.writeFailure(c.call, err)
@@ -147,10 +150,11 @@
 	return true
 }
 
+// writeResult writes a result line if it is of the wanted kind.
 func writeResult(output *bufio.Writer, line []byte, wantErrors bool) error {
 	result := batch.ResultLine{}
 	if err := json.Unmarshal(line, &result); err != nil {
-		return failure.Wrap(err, failure.KindInternal, "bad_result", "a stored result is damaged")
+		return failure.Wrap(err, failure.KindInternal, "bad_result", "a stored result is corrupt")
 	}
 	if (result.Error != nil) != wantErrors {
 		return nil
@@ -162,7 +166,8 @@
 	return nil
 }
 
-// ownJob reads a job that belongs to the calling tenant.
+// ownJob reads a job of the caller's tenant. A job of another tenant is reported as
+// not found.
 func (c *caller) ownJob(id string) (batch.Job, error) {
 	ctx, cancel := context.WithTimeout(c.gateway.lifetime, recordTimeout)
 	defer cancel()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -21,15 +21,15 @@
 
 const copyBufferBytes = 4 << 10
 
-// forwardClient passes calls on to daemons of other zones, each on a connection of its
-// own: closing it is how the other daemon learns that the caller has left.
+// forwardClient forwards calls to daemons of other zones. Each call has its own
+// connection, which is closed if the caller disconnects.
 type forwardClient struct{ tls *tls.Config }
 
 func newForwardClient(process settings.Settings) *forwardClient {
 	return &forwardClient{tls: forwardTLS(process)}
 }
 
-// scheme returns the beginning of other daemons' addresses.
+// scheme returns the URL scheme of other daemons, with its separator.
 func (f *forwardClient) scheme() string {
 	if f.tls != nil {
 		return "https://"
@@ -37,68 +37,70 @@
 	return "http://"
 }
 
-// start returns a call to a daemon, which has no connection yet.
-func (f *forwardClient) start(address string) *forwardedCall {
-	made := &forwardedCall{}
-	made.client = &fasthttp.HostClient{
-		Addr: address, IsTLS: f.tls != nil, TLSConfig: f.tls, Dial: made.dial,
+// newCall returns a call to a daemon. It connects when the request is sent.
+func (f *forwardClient) newCall(address string) *forwardedCall {
+	call := &forwardedCall{}
+	call.client = &fasthttp.HostClient{
+		Addr: address, IsTLS: f.tls != nil, TLSConfig: f.tls, Dial: call.dial,
 		MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, StreamResponseBody: true,
-		DisablePathNormalizing: true, // the engine gets the target that its caller wrote
+		DisablePathNormalizing: true, // the engine receives the target unchanged
 	}
-	return made
+	return call
 }
 
 // forwardedCall is one call to a daemon of another zone.
 type forwardedCall struct {
 	client *fasthttp.HostClient
 
-	// mutex guards the fields behind it.
+	// mutex guards the fields below.
 	mutex      sync.Mutex
 	connection net.Conn
-	isEnded    bool
+	isClosed   bool
 }
 
 func (f *forwardedCall) dial(address string) (net.Conn, error) {
 	connection, err := fasthttp.Dial(address)
 	if err != nil {
-		return nil, err // the client tells failures to connect from others by their type
+		return nil, err // unwrapped: isDialFailure checks its type
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.connection = connection
-	if f.isEnded {
-		_ = connection.Close() // nothing was sent on it
+	if f.isClosed {
+		_ = connection.Close() // nothing has been sent on it
 	}
 	return connection, nil
 }
 
-// end closes the call's connection.
-func (f *forwardedCall) end() {
+// close closes the call's connection, or its later connection if it has none yet.
+func (f *forwardedCall) close() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.isEnded = true
+	f.isClosed = true
 	if f.connection != nil {
-		_ = f.connection.Close() // whoever reads from it sees the error
+		_ = f.connection.Close() // pending reads fail
 	}
 }
 
-// endWithCaller ends a forwarded call when its caller leaves, until stop is called. One
-// with a key goes on: its caller may come back for the answer.
-func (c *caller) endWithCaller(passed *forwardedCall) (stop func()) {
+// closeWithCaller closes a forwarded call when its caller disconnects, until stop is
+// called. A call with an idempotency key continues, because the caller may ask for its
+// answer later.
+func (c *caller) closeWithCaller(forwarded *forwardedCall) (stop func()) {
 	if len(c.call.Request.Header.Peek(HeaderIdempotencyKey)) > 0 {
 		return func() {}
 	}
-	watched, leave := context.WithCancelCause(context.Background())
-	go watchCaller(watched, c.call.Conn(), leave)
-	unhook := context.AfterFunc(watched, passed.end)
+	watched, cancel := context.WithCancelCause(context.Background())
+	go watchCaller(watched, c.call.Conn(), cancel)
+	stopWatching := context.AfterFunc(watched, forwarded.close)
 	return func() {
-		unhook()
-		leave(nil)
+		stopWatching()
+		cancel(nil)
 	}
 }
 
-// forwardTLS trusts the daemon's own certificate file: all daemons of a fleet
-// share an authority, whose certificate the file must include.
+// forwardTLS returns the TLS configuration for calls to other daemons, or nil without
+// TLS. It trusts the certificates in the daemon's certificate file, which must include
+// the authority that all daemons of a fleet share.
 func forwardTLS(process settings.Settings) *tls.Config {
 	if process.TLSCertificateFile == "" {
 		return nil
@@ -110,8 +112,8 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}
 }
 
-// forwardTo passes the call on and copies the answer as it comes. It returns
-// false only if the other daemon certainly did not run the request.
+// forwardTo forwards the call and copies the answer as it arrives. It returns false,
+// with nothing written, only if the other daemon cannot have received the request.
 func (c *caller) forwardTo(member membership.Member) bool {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -122,27 +124,29 @@
 	request.Header.SetHost(member.HTTPAddress)
 	request.Header.Set(HeaderHop, c.gateway.Settings.Zone)
 	request.SetConnectionClose()
-	passed := c.gateway.forward.start(member.HTTPAddress)
-	stop := c.endWithCaller(passed)
-	err := passed.client.DoDeadline(request, response, time.Now().Add(maxDeadline))
+	forwarded := c.gateway.forward.newCall(member.HTTPAddress)
+	stop := c.closeWithCaller(forwarded)
+	err := forwarded.client.DoDeadline(request, response, time.Now().Add(maxDeadline))
 	stop()
 	if err != nil {
 		fasthttp.ReleaseResponse(response)
 		c.gateway.Logger.Info("request_forward_failed", "zone", member.Zone, "to", member.Name, "caller", c.call.RemoteAddr().String(), "tenant", c.tenant, "error", err)
 		return c.forwardFailed(err)
 	}
-	// The other daemon gives the request an id of its own, which its lines carry.
+	// The other daemon logs the request under its own id, answered_as.
 	c.gateway.Logger.Info("request_forwarded", "zone", member.Zone, "to", member.Name, "status", response.StatusCode(),
 		"answered_as", string(response.Header.Peek(HeaderRequestID)), "caller", c.call.RemoteAddr().String(), "tenant", c.tenant)
 	c.copyAnswer(response)
 	return true
 }
 
+// forwardFailed answers a call that failed after it may have been sent. It returns
+// false if no connection was made.
 func (c *caller) forwardFailed(err error) bool {
 	if isDialFailure(err) {
 		return false
 	}
-	c.gateway.writeFailure(c.call, failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was forwarded to another zone and its outcome cannot be learnt"))
+	c.gateway.writeFailure(c.call, failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was forwarded to another zone and its outcome is unknown"))
 	return true
 }
 
@@ -165,8 +169,8 @@
 	})
 }
 
-// copyFlushing passes every read on at once, as streams need. An error tells that the
-// input broke off or that the output is not taken.
+// copyFlushing copies the input and flushes after every read, as streams need. It
+// returns an error if the input is truncated or the output cannot be written.
 func copyFlushing(output *bufio.Writer, input io.Reader) error {
 	buffer := make([]byte, copyBufferBytes)
 	for {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,7 @@
-// Package gateway is the daemon's HTTP side towards callers and operators:
-// authentication, admission, routing, streaming, retries, files and batches.
+// Package gateway is the HTTP API of a daemon for callers and operators. It
+// authenticates and admits requests, routes them to engines, retries failed
+// attempts, streams answers, and serves files and batch jobs. Create a Gateway
+// with New, run it with Serve and stop it with Shutdown.
 package gateway
 
 import (
@@ -36,7 +38,7 @@
 	"topazpulley/internal/tenant"
 )
 
-// Headers of the callers' protocol.
+// Headers of requests and responses.
 const (
 	HeaderRepeatable     = "X-Repeatable"
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -51,7 +53,7 @@
 	retryShare         = 0.2
 	retryReserve       = 50
 	minimumLimit       = 4
-	headerLimit        = 64 << 10
+	maxHeaderBytes     = 64 << 10
 	readHeaderTimeout  = 15 * time.Second
 	idleTimeout        = 2 * time.Minute
 	cutOffAfter        = 20 * time.Second
@@ -59,14 +61,15 @@
 	maxConnsPerAddress = 2048
 )
 
-// Yielder tells an engine's supervisor on this daemon that online requests are
-// on their way.
+// Yielder reduces the batch work of engines that this daemon supervises, in
+// favor of online requests.
 type Yielder interface {
-	// Yield shrinks the engine's batch window.
+	// Yield shrinks the engine's batch window for the given number of online
+	// requests.
 	Yield(engine string, online int)
 }
 
-// Dependencies are what a gateway works with.
+// Dependencies are the components and settings that a gateway uses.
 type Dependencies struct {
 	Settings    settings.Settings
 	Node        *cluster.Node
@@ -81,23 +84,24 @@
 	Coordinator *batch.Coordinator
 	Worker      *batch.Worker
 	Yielder     Yielder
-	// Limits bounds the requests of tenants over the whole fleet.
+	// Limits applies the tenants' request rates across the fleet.
 	Limits  *ratelimit.Limiter
 	Metrics *telemetry.Metrics
 	Logger  *slog.Logger
-	// Clock counts also the time for which the machine slept; nil is the system's.
+	// Clock includes time during which the machine was suspended; nil means the
+	// system's clock.
 	Clock boottime.Clock
-	// Wakeups tells that the machine has slept; nil means that this is not noticed before
-	// timers fire.
+	// Wakeups ends request contexts whose deadline passed while the machine was
+	// suspended; if nil, they end only when their timers fire.
 	Wakeups *boottime.Wakeups
 	Routing routing.Policy
-	// WithoutHints leaves out yield hints, for experiments.
+	// WithoutHints disables yield hints, for experiments.
 	WithoutHints bool
-	// Describe adds duty descriptions to the status page.
+	// Describe returns this daemon's duties for the status page.
 	Describe func() Duties
 }
 
-// Gateway serves HTTP. mutex guards limiters, hintedAt and random.
+// Gateway serves the HTTP API.
 type Gateway struct {
 	Dependencies
 	server   *fasthttp.Server
@@ -108,18 +112,20 @@
 	lifetime context.Context
 	inFlight sync.WaitGroup
 	active   atomic.Int64
-	// backgroundSaves counts answers that wait for the platform.
+	// backgroundSaves counts answers that wait to be stored in the background.
 	backgroundSaves atomic.Int64
 	stopping        atomic.Bool
 	ready           atomic.Bool
 
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	router   *routing.Router
 	limiters map[string]*admission.Limiter
+	// hintedAt is the time of the last yield hint, by engine.
 	hintedAt map[string]time.Time
 }
 
-// New makes a gateway that works until the lifetime ends.
+// New creates a gateway. Its work stops when the lifetime context ends.
 func New(lifetime context.Context, dependencies Dependencies) *Gateway {
 	gateway := &Gateway{
 		Dependencies: dependencies,
@@ -138,7 +144,7 @@
 		NoDefaultServerHeader:         true,
 		MaxRequestBodySize:            dependencies.Settings.MaxBodyBytes,
 		Concurrency:                   dependencies.Settings.MaxConnections,
-		ReadBufferSize:                headerLimit,
+		ReadBufferSize:                maxHeaderBytes,
 		ReadTimeout:                   readHeaderTimeout,
 		WriteTimeout:                  writeTimeout,
 		IdleTimeout:                   idleTimeout,
@@ -151,13 +157,13 @@
 	return gateway
 }
 
-// Serve answers on a listener until Shutdown.
+// Serve accepts connections on a listener until Shutdown.
 func (g *Gateway) Serve(listener net.Listener) error { return g.server.Serve(listener) }
 
-// SetReady says whether the daemon may get callers' requests.
+// SetReady sets whether the daemon accepts callers' requests.
 func (g *Gateway) SetReady(ready bool) { g.ready.Store(ready) }
 
-// SetStopping makes /readyz fail while requests are still served.
+// SetStopping makes /readyz fail. Requests are still served.
 func (g *Gateway) SetStopping() { g.stopping.Store(true) }
 
 // Wait returns when no request is in flight or the context ends.
@@ -176,14 +182,14 @@
 // Shutdown stops listening and closes idle connections.
 func (g *Gateway) Shutdown(ctx context.Context) error { return g.server.ShutdownWithContext(ctx) }
 
-// handleProtocolError answers requests that fasthttp could not read.
+// handleProtocolError answers requests that fasthttp cannot parse.
 func (g *Gateway) handleProtocolError(call *fasthttp.RequestCtx, err error) {
 	var tooSmall *fasthttp.ErrSmallBuffer
 	switch {
 	case err == fasthttp.ErrBodyTooLarge:
 		g.writeFailure(call, failure.New(failure.KindTooLarge, "body_too_large", "the request body exceeds %d bytes", g.Settings.MaxBodyBytes).WithNotRun())
 	case isSmallBuffer(err, &tooSmall):
-		g.writeFailure(call, failure.New(failure.KindTooLarge, "headers_too_large", "the request headers exceed %d bytes", headerLimit).WithNotRun())
+		g.writeFailure(call, failure.New(failure.KindTooLarge, "headers_too_large", "the request headers exceed %d bytes", maxHeaderBytes).WithNotRun())
 	default:
 		g.writeFailure(call, failure.New(failure.KindInvalid, "bad_http", "the request cannot be read or was not sent in time").WithNotRun())
 	}
@@ -195,7 +201,7 @@
 	return ok
 }
 
-// handle dispatches by path.
+// handle dispatches requests by path.
 func (g *Gateway) handle(call *fasthttp.RequestCtx) {
 	if g.stopping.Load() {
 		call.SetConnectionClose()
@@ -228,13 +234,13 @@
 	g.handleCaller(call, path)
 }
 
-// refuseTarget refuses a target that is no path with an optional query, as the other
-// interface does: passed on to another zone, one in absolute form made an address of two.
+// refuseTarget refuses a target that is not a path with an optional query. A target
+// in absolute form cannot be appended to the address of a daemon in another zone.
 func (g *Gateway) refuseTarget(call *fasthttp.RequestCtx, err error) {
-	g.writeFailure(call, failure.Wrap(err, failure.KindInvalid, string(httphead.KindTarget), "the target is no path with an optional query").WithNotRun())
+	g.writeFailure(call, failure.Wrap(err, failure.KindInvalid, string(httphead.KindTarget), "the request target must be a path with an optional query").WithNotRun())
 }
 
-// isCutOff reports whether the daemon could not confirm its revision lately.
+// isCutOff reports whether the daemon has not confirmed its revision within cutOffAfter.
 func (g *Gateway) isCutOff() bool { return time.Since(g.Holder.ConfirmedAt()) > cutOffAfter }
 
 func (g *Gateway) handleCaller(call *fasthttp.RequestCtx, path string) {
@@ -259,8 +265,8 @@
 	}
 }
 
-// caller is one authenticated call. dispatch returns true when a stream writer
-// has taken over finish.
+// caller is one authenticated call. finish is called once, when the call has been
+// answered.
 type caller struct {
 	gateway *Gateway
 	call    *fasthttp.RequestCtx
@@ -271,6 +277,8 @@
 	finish  func()
 }
 
+// dispatch handles the call by its path. It returns true if a stream writer will
+// call finish.
 func (c *caller) dispatch() bool {
 	switch {
 	case c.path == batch.EndpointCompletions || c.path == batch.EndpointChatCompletions:
@@ -304,11 +312,11 @@
 func (g *Gateway) authenticate(call *fasthttp.RequestCtx) (*tenant.Tenant, *bundle.Bundle, error) {
 	_, active := g.Holder.Current()
 	if active == nil {
-		return nil, nil, failure.New(failure.KindUnavailable, "no_configuration", "no bundle is in force yet").WithNotRun().WithRetryAfter(time.Second)
+		return nil, nil, failure.New(failure.KindUnavailable, "no_configuration", "no bundle is active yet").WithNotRun().WithRetryAfter(time.Second)
 	}
 	found, known := active.Directory().Identify(bearerToken(call))
 	if !known {
-		return nil, nil, failure.New(failure.KindUnauthorized, "bad_key", "the API key is not known: send it as a bearer token").WithNotRun()
+		return nil, nil, failure.New(failure.KindUnauthorized, "bad_key", "unknown API key: send a valid key as a bearer token").WithNotRun()
 	}
 	return found, active, nil
 }
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -30,7 +30,7 @@
 	codeCallerLeft      = "caller_left"
 )
 
-// onlineRequest is one admitted online generation.
+// onlineRequest is one online request: a generation or a plain call.
 type onlineRequest struct {
 	id         string
 	origin     origin
@@ -44,21 +44,21 @@
 	repeatable bool
 	prefixHash uint64
 	arrived    time.Time
-	// arrivedMark is the same moment by a clock that counts sleep too.
+	// arrivedMark is the arrival time on the clock that includes suspended time.
 	arrivedMark boottime.Mark
 }
 
-// fingerprint identifies the request's content whatever its id.
+// fingerprint identifies the request by its content. It does not depend on its id.
 func (r onlineRequest) fingerprint() quarantine.Fingerprint {
 	return engine.GenerationFingerprint(r.model, r.tenant, r.input)
 }
 
-// intentRecorder makes the dispatch of a request that may not be repeated
-// durable. It returns nil only when the attempt may be sent.
+// intentRecorder durably records an attempt of a non-repeatable request before it is
+// sent. The attempt may be sent only if the recorder returns nil.
 type intentRecorder func(ctx context.Context, view registry.Engine, attemptID string) error
 
-// generation produces the tokens of one request. It hides refusals, broken
-// streams and changes of engine: next returns each token exactly once.
+// generation produces the tokens of one request. It retries after refusals and broken
+// streams, on other engines if needed; next returns each token exactly once.
 type generation struct {
 	gateway *Gateway
 	request onlineRequest
@@ -70,7 +70,7 @@
 	attempt   int
 	attemptID string
 	resumes   int
-	// ran is what is known of whether engines ran the request.
+	// ran records whether engines may have run the request.
 	ran        runrecord.Record
 	excluded   map[string]bool
 	overloaded bool
@@ -100,7 +100,7 @@
 		if err == nil {
 			return n.deliver(event), nil
 		}
-		if err := n.broken(ctx, err); err != nil {
+		if err := n.handleBrokenStream(ctx, err); err != nil {
 			return engine.Event{}, err
 		}
 	}
@@ -119,13 +119,13 @@
 	return event
 }
 
-// endStream closes the present stream and counts how it went.
+// endStream closes the current stream and records whether it failed.
 func (n *generation) endStream(failed bool) {
 	if n.stream == nil {
 		return
 	}
 	if failed && !n.request.repeatable {
-		n.stream.Detach() // cancelling would lose the only attempt
+		n.stream.Detach() // closing would cancel the only attempt
 	} else {
 		n.stream.Close()
 	}
@@ -133,14 +133,14 @@
 	n.gateway.Registry.End(n.view.Name, failed, time.Now())
 }
 
-// close ends the generation early; a running attempt is cancelled.
+// close ends the generation; a running attempt is cancelled.
 func (n *generation) close() { n.endStream(false) }
 
-// open starts an attempt on a chosen engine, trying others after refusals.
+// open starts an attempt on a chosen engine and tries others after refusals.
 func (n *generation) open(ctx context.Context) error {
 	for n.attempt < maxAttempts {
 		if n.attempt > 0 && !n.gateway.retries.Spend() {
-			return n.giveUp(codeRetryBudget, "engines refuse and the retry budget is spent")
+			return n.overloadedError(codeRetryBudget, "engines refused the request and the retry budget is spent")
 		}
 		view, err := n.choose(ctx)
 		if err != nil {
@@ -154,26 +154,26 @@
 				return n.ran.Refuse(failure.From(err))
 			}
 		}
-		if err := n.mayLeave(ctx); err != nil {
+		if err := n.checkSendable(ctx); err != nil {
 			return err
 		}
 		err = n.send(ctx)
 		if err == nil {
 			return nil
 		}
-		if err := n.refused(ctx, err); err != nil || n.stream != nil {
+		if err := n.handleRefusal(ctx, err); err != nil || n.stream != nil {
 			return err
 		}
 	}
-	return n.giveUp("too_many_attempts", "no engine took the request")
+	return n.overloadedError("too_many_attempts", "no engine accepted the request")
 }
 
 func (n *generation) send(ctx context.Context) error {
 	n.gateway.Registry.Begin(n.view.Name)
-	n.gateway.hintYield(n.view)
+	n.gateway.sendYieldHint(n.view)
 	n.ran.Sent()
-	n.gateway.noteSent(n.request, n.view, n.attemptID, n.attempt, serving.KindOfSend(n.attempt, int64(len(n.tokens))))
-	stop := context.AfterFunc(ctx, func() { n.endUnanswered(ctx) })
+	n.gateway.logSent(n.request, n.view, n.attemptID, n.attempt, serving.KindOfSend(n.attempt, int64(len(n.tokens))))
+	stop := context.AfterFunc(ctx, func() { n.cancelUnanswered(ctx) })
 	defer stop()
 	stream, err := n.gateway.Engines.Generate(ctx, n.view.Machine.Address, engine.GenerateRequest{
 		AttemptID: n.attemptID, Model: n.request.model, Input: n.request.input,
@@ -182,32 +182,31 @@
 	})
 	if err != nil {
 		n.gateway.Registry.End(n.view.Name, isEngineFault(err), time.Now())
-		n.noteOutcome(err)
+		n.recordOutcome(err)
 		return err
 	}
 	n.stream = stream
 	return nil
 }
 
-// endUnanswered tells the engine to stop an attempt whose answer has not begun, if the
-// caller has left: an engine that has no room begins to answer when it gets some, and
-// would run the request for nobody.
-func (n *generation) endUnanswered(ctx context.Context) {
-	if hasLeft(ctx) {
+// cancelUnanswered cancels an attempt whose answer has not begun if the caller has
+// disconnected. Otherwise an engine that queues the attempt would still run it.
+func (n *generation) cancelUnanswered(ctx context.Context) {
+	if hasCallerLeft(ctx) {
 		n.gateway.Engines.Cancel(n.view.Machine.Address, n.attemptID)
 	}
 }
 
-// noteOutcome notes an attempt that an engine refused or that never left.
-func (n *generation) noteOutcome(err error) {
+// recordOutcome records an attempt that was refused or not sent as not run.
+func (n *generation) recordOutcome(err error) {
 	switch engine.OutcomeOf(err) {
 	case engine.OutcomeNotRun, engine.OutcomeInvalid:
 		n.ran.NeverRan()
 	}
 }
 
-// isEngineFault tells failures that count against an engine from refusals that
-// are part of its normal life.
+// isEngineFault reports whether a failure counts against the engine. Refusals in
+// normal operation do not.
 func isEngineFault(err error) bool {
 	switch engine.CodeOf(err) {
 	case engine.RefusalFull, engine.RefusalLoading, engine.RefusalNoModel, engine.RefusalBadRequest:
@@ -216,55 +215,56 @@
 	return true
 }
 
-// refused handles an attempt that did not start or broke before its stream
-// opened. A nil return means: try on, or go on with the stream if it is set.
-func (n *generation) refused(ctx context.Context, err error) error {
-	n.noteFailed(n.attemptID, err)
+// handleRefusal handles an attempt that failed before its stream opened. After a nil
+// error, the caller continues with the stream if it is set, and otherwise tries again.
+func (n *generation) handleRefusal(ctx context.Context, err error) error {
+	n.logFailed(n.attemptID, err)
 	n.gateway.Metrics.Retries.WithLabelValues(engine.CodeOf(err)).Inc()
 	if engine.CodeOf(err) == engine.CodeQuarantined {
-		return n.quarantined()
+		return n.quarantinedError()
 	}
 	switch engine.OutcomeOf(err) {
 	case engine.OutcomeInvalid:
-		return n.rejected(err)
+		return n.rejectedError(err)
 	case engine.OutcomeNotRun:
 		n.overloaded = n.overloaded || engine.CodeOf(err) == engine.RefusalFull
 		n.excluded[n.view.Name] = true
 		return nil
 	}
-	return n.unknown(ctx, err)
+	return n.handleUnknownOutcome(ctx, err)
 }
 
-// rejected makes the final answer of a request that an engine found wrong.
-func (n *generation) rejected(err error) error {
+// rejectedError returns the final error of a request that an engine found invalid.
+func (n *generation) rejectedError(err error) error {
 	return n.ran.Refuse(failure.Wrap(err, failure.KindInvalid, engine.CodeOf(err), "the engine rejected the request"))
 }
 
-// quarantined makes the final answer of a request that is sent to no engine.
-func (n *generation) quarantined() error {
+// quarantinedError returns the final error of a quarantined request.
+func (n *generation) quarantinedError() error {
 	return n.ran.Refuse(failure.New(failure.KindUnavailable, engine.CodeQuarantined,
-		"engines ended while they ran this request earlier; calls before Retry-After are sent to none").
+		"engines crashed while they ran this request; it is not sent to any engine before Retry-After").
 		WithRetryAfter(time.Duration(n.gateway.Settings.QuarantineTime)))
 }
 
-// broken handles a stream that failed after it opened.
-func (n *generation) broken(ctx context.Context, err error) error {
+// handleBrokenStream handles a stream that failed after it opened.
+func (n *generation) handleBrokenStream(ctx context.Context, err error) error {
 	if engine.CodeOf(err) == engine.CodeWrongID {
 		n.gateway.Metrics.Dropped.Inc()
 	}
-	n.noteFailed(n.attemptID, err)
+	n.logFailed(n.attemptID, err)
 	isFault := ctx.Err() == nil
 	n.endStream(isFault)
 	n.gateway.Metrics.Retries.WithLabelValues(engine.CodeOf(err)).Inc()
-	return n.unknown(ctx, err)
+	return n.handleUnknownOutcome(ctx, err)
 }
 
-// unknown decides what follows when an attempt was sent and its end is not
-// known: resume it on the same engine; if that fails, a repeatable request
-// continues elsewhere from the delivered tokens, another one ends as unknown.
-func (n *generation) unknown(ctx context.Context, cause error) error {
+// handleUnknownOutcome handles an attempt that was sent and whose outcome is unknown.
+// It resumes the attempt on the same engine. If that fails, a repeatable request
+// continues on another engine after the delivered tokens; any other request fails with
+// an unknown outcome.
+func (n *generation) handleUnknownOutcome(ctx context.Context, cause error) error {
 	if ctx.Err() != nil {
-		return n.expired(ctx, cause)
+		return n.endedError(ctx, cause)
 	}
 	tries := 1
 	if !n.request.repeatable {
@@ -278,24 +278,24 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return n.expired(ctx, cause)
+			return n.endedError(ctx, cause)
 		}
 	}
 	if !n.request.repeatable {
-		return failure.Wrap(cause, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was sent once and its outcome cannot be learnt; it was not sent again")
+		return failure.Wrap(cause, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was sent once and its outcome is unknown; it was not sent again")
 	}
 	n.excluded[n.view.Name] = true
 	return nil
 }
 
-// resume attaches to the present attempt from the delivered tokens on.
+// resume reattaches to the current attempt after the delivered tokens.
 func (n *generation) resume(ctx context.Context, cause error) bool {
 	canResume := engine.CodeOf(cause) != engine.CodeWrongID || !n.request.repeatable
 	if !canResume || n.resumes >= maxAttempts {
 		return false
 	}
 	n.resumes++
-	n.gateway.noteSent(n.request, n.view, n.attemptID, n.attempt, serving.SendResumption)
+	n.gateway.logSent(n.request, n.view, n.attemptID, n.attempt, serving.SendResumption)
 	stream, err := n.gateway.Engines.Resume(ctx, n.view.Machine.Address, n.attemptID, len(n.tokens))
 	if err != nil {
 		return false
@@ -305,17 +305,19 @@
 	return true
 }
 
-func (n *generation) expired(ctx context.Context, cause error) error {
+// endedError returns the final error of a request whose context has ended: the daemon
+// is stopping, the caller has disconnected or the deadline has passed.
+func (n *generation) endedError(ctx context.Context, cause error) error {
 	if n.gateway.lifetime.Err() != nil {
 		return n.ran.Refuse(failure.Wrap(cause, failure.KindUnavailable, "stopping", "the daemon is stopping"))
 	}
-	if hasLeft(ctx) {
+	if hasCallerLeft(ctx) {
 		return n.ran.MarkNotRun(failure.Wrap(cause, failure.KindCancelled, codeCallerLeft, "the caller closed the connection"))
 	}
 	return n.ran.MarkNotRun(failure.Wrap(cause, failure.KindDeadline, codeDeadlineReached, "the request's deadline passed"))
 }
 
-// giveUp makes the final answer of a request that no engine took.
-func (n *generation) giveUp(code, message string) error {
+// overloadedError returns the final error of a request that no engine accepted.
+func (n *generation) overloadedError(code, message string) error {
 	return n.ran.Refuse(failure.New(failure.KindOverloaded, code, "%s", message).WithRetryAfter(noEngineRetry))
 }
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -24,8 +24,8 @@
 	lookupTimeout = time.Second
 )
 
-// requestRow is the durable record of a request that may not be repeated,
-// written before its dispatch.
+// requestRow is the durable record of an attempt of a non-repeatable request. It is
+// written before the attempt is sent.
 type requestRow struct {
 	Digest    string `json:"digest"`
 	RequestID string `json:"request_id"`
@@ -34,7 +34,7 @@
 	AttemptID string `json:"attempt_id"`
 }
 
-// storedResult is a finished answer that stays readable.
+// storedResult is a complete answer in the object store.
 type storedResult struct {
 	Digest    string       `json:"digest"`
 	RequestID string       `json:"request_id"`
@@ -60,13 +60,14 @@
 	return failure.New(failure.KindConflict, "key_reused", "Idempotency-Key %q was used with other content: choose a new key", key).WithNotRun()
 }
 
-// storedAnswer looks for the answer of an earlier request with the same key.
+// storedAnswer looks for the answer of an earlier request with the same key, or for
+// its attempt if the request is non-repeatable.
 func (g *Gateway) storedAnswer(ctx context.Context, request onlineRequest, key string) (eventSource, bool, error) {
 	if key == "" {
 		return nil, false, nil
 	}
 	if !g.Platform.Available() {
-		return nil, false, g.refuseIfOnce(request, nil)
+		return nil, false, g.refuseUnlessRepeatable(request, nil)
 	}
 	bounded, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -75,10 +76,10 @@
 		if result.Digest != request.digest() {
 			return nil, false, keyReused(key)
 		}
-		return &replay{result: result}, true, nil
+		return &replaySource{result: result}, true, nil
 	}
 	if !failure.Is(err, failure.KindNotFound) {
-		return nil, false, g.refuseIfOnce(request, err)
+		return nil, false, g.refuseUnlessRepeatable(request, err)
 	}
 	if request.repeatable {
 		return nil, false, nil
@@ -86,9 +87,9 @@
 	return g.earlierAttempt(bounded, request, key)
 }
 
-// refuseIfOnce refuses a request that may not be repeated while its record
-// cannot be read; a repeatable one goes on without.
-func (g *Gateway) refuseIfOnce(request onlineRequest, cause error) error {
+// refuseUnlessRepeatable returns an error for a non-repeatable request whose record
+// cannot be read. A repeatable request proceeds without one.
+func (g *Gateway) refuseUnlessRepeatable(request onlineRequest, cause error) error {
 	if request.repeatable {
 		return nil
 	}
@@ -96,14 +97,15 @@
 }
 
 func platformDown(cause error) error {
-	message := "the platform's table is not available, which this request needs"
+	message := "the platform's table, which this request needs, is not available"
 	if cause == nil {
 		return failure.New(failure.KindUnavailable, "platform_down", "%s", message).WithNotRun().WithRetryAfter(noEngineRetry)
 	}
 	return failure.Wrap(cause, failure.KindUnavailable, "platform_down", "%s", message).WithNotRun().WithRetryAfter(noEngineRetry)
 }
 
-// earlierAttempt finds a recorded dispatch of the same key and resumes it.
+// earlierAttempt resumes the recorded attempt of an earlier request with the same key,
+// if there is one.
 func (g *Gateway) earlierAttempt(ctx context.Context, request onlineRequest, key string) (eventSource, bool, error) {
 	row, err := g.Platform.Get(ctx, requestKey(request.tenant, key))
 	if err != nil {
@@ -114,41 +116,41 @@
 	}
 	record := requestRow{}
 	if err := json.Unmarshal(row.Value, &record); err != nil {
-		return nil, false, failure.Wrap(err, failure.KindInternal, "bad_row", "the request's record is damaged")
+		return nil, false, failure.Wrap(err, failure.KindInternal, "bad_row", "the request's record is corrupt")
 	}
 	if record.Digest != request.digest() {
 		return nil, false, keyReused(key)
 	}
 	view := registry.Engine{Name: record.Engine, Machine: registry.MachineRecord{Address: record.Address}}
-	g.noteSent(request, view, record.AttemptID, 1, serving.SendResumption)
+	g.logSent(request, view, record.AttemptID, 1, serving.SendResumption)
 	stream, err := g.Engines.Resume(g.lifetime, record.Address, record.AttemptID, 0)
 	if err != nil {
-		return nil, false, failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was sent once and its outcome cannot be learnt; it was not sent again")
+		return nil, false, failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the request was sent once and its outcome is unknown; it was not sent again")
 	}
-	return &resumed{stream: stream}, true, nil
+	return &resumedSource{stream: stream}, true, nil
 }
 
-// resumed is an attempt that another call or daemon began.
-type resumed struct{ stream *engine.Stream }
+// resumedSource returns the events of an attempt that another call or daemon started.
+type resumedSource struct{ stream *engine.Stream }
 
-func (r *resumed) next(ctx context.Context) (engine.Event, error) {
+func (r *resumedSource) next(ctx context.Context) (engine.Event, error) {
 	event, err := r.stream.Next(ctx)
 	if err != nil || event.FinishReason == engine.FinishCancelled {
-		return event, failure.New(failure.KindOutcomeUnknown, codeOutcomeUnknown, "the earlier attempt's outcome cannot be learnt")
+		return event, failure.New(failure.KindOutcomeUnknown, codeOutcomeUnknown, "the earlier attempt's outcome is unknown")
 	}
 	return event, nil
 }
 
-// close leaves the attempt running: it belongs to whoever began it.
-func (r *resumed) close() {}
+// close leaves the attempt running, because another call may be reading it.
+func (r *resumedSource) close() {}
 
-// replay yields a stored answer.
-type replay struct {
+// replaySource returns the events of a stored answer.
+type replaySource struct {
 	result   storedResult
 	position int
 }
 
-func (r *replay) next(context.Context) (engine.Event, error) {
+func (r *replaySource) next(context.Context) (engine.Event, error) {
 	if r.position == len(r.result.Tokens) {
 		return r.result.End, nil
 	}
@@ -156,23 +158,24 @@
 	return engine.Event{Index: r.position - 1, Token: r.result.Tokens[r.position-1]}, nil
 }
 
-func (r *replay) close() {}
+func (r *replaySource) close() {}
 
+// beginStored starts a run that reads a stored answer or a resumed attempt.
 func (g *Gateway) beginStored(ctx context.Context, request onlineRequest, source eventSource) (*run, error) {
-	begun := &run{gateway: g, request: request, source: source}
-	begun.finish = func(err error) {
+	started := &run{gateway: g, request: request, source: source}
+	started.finish = func(err error) {
 		source.close()
 		g.countOutcome(request.service, err)
 	}
-	begun.store = func(context.Context, []string, engine.Event) {}
+	started.store = func(context.Context, []string, engine.Event) {}
 	first, err := source.next(ctx)
-	begun.first = first
-	return begun, err
+	started.first = first
+	return started, err
 }
 
-// recorderFor returns what records dispatches of a request that may not be
-// repeated; nil for others. Each record replaces the one before, whose attempt
-// is known not to have run.
+// recorderFor returns the recorder for the attempts of a non-repeatable request, or
+// nil for a repeatable one. Each record replaces the previous one, whose attempt did
+// not run.
 func (g *Gateway) recorderFor(request onlineRequest, key string) intentRecorder {
 	if request.repeatable {
 		return nil
@@ -198,11 +201,12 @@
 		bounded, cancel := context.WithTimeout(ctx, recordTimeout)
 		defer cancel()
 		version, err = g.Platform.Transact(bounded, transaction)
-		return g.explainRecord(err, transaction, key)
+		return g.recordError(err, transaction, key)
 	}
 }
 
-func (g *Gateway) explainRecord(err error, transaction storage.Transaction, key string) error {
+// recordError returns the answer to a failure to record an attempt.
+func (g *Gateway) recordError(err error, transaction storage.Transaction, key string) error {
 	if err == nil {
 		return nil
 	}
@@ -214,9 +218,8 @@
 	return platformDown(err)
 }
 
-// undoRecord removes a record whose write may have taken effect although the
-// request was refused and not sent, so that a resend is not taken for one that
-// may have run.
+// undoRecord removes a record whose write may have taken effect although the request
+// was refused and not sent. Otherwise a resend would resume an attempt that never ran.
 func (g *Gateway) undoRecord(transaction storage.Transaction) {
 	ctx, cancel := context.WithTimeout(g.lifetime, backgroundTimeout)
 	defer cancel()
@@ -235,8 +238,8 @@
 	}
 }
 
-// storerFor returns what keeps the finished answer readable; answers without a
-// key are kept only if they may not be repeated.
+// storerFor returns the function that stores the complete answer. Answers without a
+// key are stored only for non-repeatable requests, under the request's id.
 func (g *Gateway) storerFor(request onlineRequest, key string) func(context.Context, []string, engine.Event) {
 	if key == "" && request.repeatable {
 		return func(context.Context, []string, engine.Event) {}
@@ -262,12 +265,12 @@
 		return result, err
 	}
 	if err := json.Unmarshal(content, &result); err != nil {
-		return result, failure.Wrap(err, failure.KindInternal, "bad_result", "the stored answer is damaged")
+		return result, failure.Wrap(err, failure.KindInternal, "bad_result", "the stored answer is corrupt")
 	}
 	return result, nil
 }
 
-// readRequest answers with the stored answer of a key.
+// readRequest answers with the stored answer for a key.
 func (c *caller) readRequest(key string) {
 	ctx, cancel := context.WithTimeout(c.gateway.lifetime, recordTimeout)
 	defer cancel()
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -15,7 +15,7 @@
 	"topazpulley/internal/revision"
 )
 
-// Paths of the operators' protocol.
+// Paths of the operator API, its timeout, and the number of revisions in the history.
 const (
 	operatorPrefix  = "/v1/operator/"
 	PathRevisions   = operatorPrefix + "revisions"
@@ -26,18 +26,19 @@
 	historyLimit    = 50
 )
 
-// ChangeRequest asks for a new revision.
+// ChangeRequest is the body of a request to append a revision.
 type ChangeRequest struct {
 	Kind revision.Kind `json:"kind"`
-	// Digest names the bundle to roll or withdraw.
+	// Digest identifies the bundle to roll or withdraw.
 	Digest string `json:"digest,omitempty"`
-	// Text and Signatures are the bundle to accept.
+	// Text and Signatures are those of the bundle to accept.
 	Text       string             `json:"text,omitempty"`
 	Signatures []bundle.Signature `json:"signatures,omitempty"`
 	Operator   string             `json:"operator"`
-	// OperationID makes a repeated call harmless.
+	// OperationID identifies the operation, so that a repeated call has no further
+	// effect. If empty, the daemon generates one.
 	OperationID string `json:"operation_id"`
-	// Base is the head that the operator has seen, or -1 for any.
+	// Base is the latest revision that the operator has seen, or -1 for any.
 	Base int64 `json:"base"`
 }
 
@@ -58,6 +59,7 @@
 	writeJSON(call, answer)
 }
 
+// operate dispatches an operator's request by path and returns the response body.
 func (g *Gateway) operate(ctx context.Context, call *fasthttp.RequestCtx, path string) (any, error) {
 	switch {
 	case path == PathRevisions && call.IsPost():
@@ -74,7 +76,7 @@
 	return nil, failure.New(failure.KindNotFound, "no_path", "there is nothing at %s", path).WithNotRun()
 }
 
-// BundleText is the text of a bundle.
+// BundleText is the response body with the text of a bundle.
 type BundleText struct {
 	Digest string `json:"digest"`
 	Text   string `json:"text"`
@@ -85,15 +87,15 @@
 	return BundleText{Digest: digest, Text: string(content)}, err
 }
 
-// changeRevision verifies an operator's wish, appends the revision and puts it
-// in force here; gossip carries it on.
+// changeRevision checks an operator's request, appends the revision and applies it on
+// this daemon. Gossip distributes it to the others.
 func (g *Gateway) changeRevision(ctx context.Context, call *fasthttp.RequestCtx) (revision.Revision, error) {
 	request := ChangeRequest{Base: -1}
 	if err := decodeBody(call, &request); err != nil {
 		return revision.Revision{}, err
 	}
 	if request.Operator == "" {
-		return revision.Revision{}, failure.New(failure.KindInvalid, "no_operator", "name the operator").WithNotRun()
+		return revision.Revision{}, failure.New(failure.KindInvalid, "no_operator", "operator is required").WithNotRun()
 	}
 	if request.OperationID == "" {
 		request.OperationID = ulid.Make().String()
--- a/internal/gateway/origin.go
+++ b/internal/gateway/origin.go
@@ -8,12 +8,12 @@
 	"topazpulley/internal/serving"
 )
 
-// origin tells, in logs, where a request came from.
+// origin identifies the source of a request in logs.
 type origin struct {
-	// caller is the address of the connection on which it came.
+	// caller is the remote address of the connection.
 	caller string
-	// zone is that of the daemon which passed it on; empty means that its caller came
-	// here.
+	// zone is the zone of the daemon that forwarded the request; empty if it was not
+	// forwarded.
 	zone string
 }
 
@@ -21,18 +21,17 @@
 	return origin{caller: call.RemoteAddr().String(), zone: string(call.Request.Header.Peek(HeaderHop))}
 }
 
-// noteSent logs where an attempt comes from before it leaves: an engine knows the
-// attempt's id only. There are at most maxAttempts lines for new attempts of a request
-// and as many for resumed ones.
-func (g *Gateway) noteSent(request onlineRequest, view registry.Engine, attemptID string, number int, kind serving.SendKind) {
+// logSent logs the source of an attempt before it is sent, because the engine receives
+// only the attempt's id. A request has at most maxAttempts such lines for new attempts
+// and as many for resumptions.
+func (g *Gateway) logSent(request onlineRequest, view registry.Engine, attemptID string, number int, kind serving.SendKind) {
 	g.Logger.Info("request_sent", "id", request.id, "attempt_id", attemptID, "engine", view.Name, "address", view.Machine.Address,
 		"attempt", number, "kind", string(kind), "caller", request.origin.caller, "from_zone", request.origin.zone,
 		"tenant", request.tenant, "service", request.service)
 }
 
-// noteFailed logs why an attempt gave no answer, or no further one: what follows is
-// decided by it.
-func (n *generation) noteFailed(attemptID string, err error) {
+// logFailed logs why an attempt failed.
+func (n *generation) logFailed(attemptID string, err error) {
 	n.gateway.Logger.Info("attempt_failed", "id", n.request.id, "attempt_id", attemptID, "engine", n.view.Name, "attempt", n.attempt,
 		"outcome", engine.OutcomeOf(err).String(), "code", engine.CodeOf(err), "tokens", len(n.tokens), "error", err)
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -19,8 +19,8 @@
 
 const servicesPrefix = "/v1/services/"
 
-// callService answers a call of a plain service: the path is the service's
-// name and the rest is passed on.
+// callService answers a call of a plain service. The path begins with the service's
+// name; the rest is forwarded to an engine.
 func (c *caller) callService(path string) {
 	name, _, _ := strings.Cut(path, "/")
 	service, known := c.active.Services[name]
@@ -55,8 +55,8 @@
 	c.call.SetBody(answer.Body)
 }
 
-// serviceTarget is the target of a call behind the service's name as the caller
-// wrote it, with its query: the engine gets that and no other.
+// serviceTarget returns the part of the request target after the service's name, with
+// the query. The engine receives it unchanged.
 func (c *caller) serviceTarget(name string) (string, error) {
 	target, isPlain := strings.CutPrefix(string(c.call.RequestURI()), servicesPrefix+name)
 	if !strings.HasPrefix(target, "/") {
@@ -64,7 +64,7 @@
 	}
 	err := httphead.CheckTarget(target)
 	if !isPlain || err != nil {
-		return "", failure.Wrap(err, failure.KindInvalid, "bad_target", "the path cannot be passed on as it is").WithNotRun()
+		return "", failure.Wrap(err, failure.KindInvalid, "bad_target", "the path cannot be forwarded unchanged").WithNotRun()
 	}
 	return target, nil
 }
@@ -88,8 +88,8 @@
 	return request, deadline, nil
 }
 
-// callPlain sends a call to an engine, with the same limits, retries and
-// outcomes as a generation.
+// callPlain sends a call to an engine, with the same limits, retries and error kinds
+// as a generation.
 func (g *Gateway) callPlain(ctx context.Context, request onlineRequest, deadline time.Time, call engine.CallRequest, key string) (engine.CallAnswer, error) {
 	if !request.repeatable && key != "" {
 		_, found, err := g.earlierAttempt(ctx, request, key)
@@ -110,25 +110,26 @@
 	return answer, err
 }
 
-// call sends a plain call, trying other engines as the outcomes allow.
+// call sends a plain call and tries other engines after failures that allow it.
 func (n *generation) call(ctx context.Context, call engine.CallRequest) (engine.CallAnswer, error) {
 	for n.attempt < maxAttempts {
 		if n.attempt > 0 && !n.gateway.retries.Spend() {
-			return engine.CallAnswer{}, n.giveUp(codeRetryBudget, "engines refuse and the retry budget is spent")
+			return engine.CallAnswer{}, n.overloadedError(codeRetryBudget, "engines refused the call and the retry budget is spent")
 		}
-		answer, err := n.callOnce(ctx, call)
+		answer, err := n.attemptCall(ctx, call)
 		if err == nil {
 			n.firstToken = time.Since(n.request.arrived)
 			return answer, nil
 		}
-		if err := n.callFailed(ctx, err); err != nil {
+		if err := n.handleCallError(ctx, err); err != nil {
 			return answer, err
 		}
 	}
-	return engine.CallAnswer{}, n.giveUp("too_many_attempts", "no engine took the call")
+	return engine.CallAnswer{}, n.overloadedError("too_many_attempts", "no engine accepted the call")
 }
 
-func (n *generation) callOnce(ctx context.Context, call engine.CallRequest) (engine.CallAnswer, error) {
+// attemptCall sends one attempt of a plain call to a chosen engine.
+func (n *generation) attemptCall(ctx context.Context, call engine.CallRequest) (engine.CallAnswer, error) {
 	view, err := n.choose(ctx)
 	if err != nil {
 		return engine.CallAnswer{}, err
@@ -141,23 +142,24 @@
 			return engine.CallAnswer{}, n.ran.Refuse(failure.From(err))
 		}
 	}
-	if err := n.mayLeave(ctx); err != nil {
+	if err := n.checkSendable(ctx); err != nil {
 		return engine.CallAnswer{}, err
 	}
 	n.gateway.Registry.Begin(view.Name)
 	n.ran.Sent()
-	n.gateway.noteSent(n.request, view, call.AttemptID, n.attempt, serving.KindOfSend(n.attempt, 0))
+	n.gateway.logSent(n.request, view, call.AttemptID, n.attempt, serving.KindOfSend(n.attempt, 0))
 	answer, err := n.gateway.Engines.Call(ctx, view.Machine.Address, call)
 	n.gateway.Registry.End(view.Name, err != nil && isEngineFault(err), time.Now())
 	if err != nil {
-		n.noteOutcome(err)
-		n.noteFailed(call.AttemptID, err)
+		n.recordOutcome(err)
+		n.logFailed(call.AttemptID, err)
 	}
 	return answer, err
 }
 
-// callFailed returns nil when the call may be tried again.
-func (n *generation) callFailed(ctx context.Context, err error) error {
+// handleCallError returns nil if the call may be tried again, and otherwise its final
+// error.
+func (n *generation) handleCallError(ctx context.Context, err error) error {
 	code := engine.CodeOf(err)
 	if code == "" {
 		return err
@@ -168,19 +170,19 @@
 	}
 	n.excluded[n.view.Name] = true
 	if code == engine.CodeQuarantined {
-		return n.quarantined()
+		return n.quarantinedError()
 	}
 	switch engine.OutcomeOf(err) {
 	case engine.OutcomeNotRun:
 		return nil
 	case engine.OutcomeInvalid:
-		return n.rejected(err)
+		return n.rejectedError(err)
 	}
 	if ctx.Err() != nil {
-		return n.expired(ctx, err)
+		return n.endedError(ctx, err)
 	}
 	if !n.request.repeatable {
-		return failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the call was sent once and its outcome cannot be learnt; it was not sent again")
+		return failure.Wrap(err, failure.KindOutcomeUnknown, codeOutcomeUnknown, "the call was sent once and its outcome is unknown; it was not sent again")
 	}
 	return nil
 }
--- a/internal/gateway/presence.go
+++ b/internal/gateway/presence.go
@@ -9,44 +9,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// presencePoll is the pause between two looks at the connection of a caller that waits.
-// The library that serves the connection tells nothing of it meanwhile; a look is one
+// presencePollInterval is the interval of checks whether a waiting caller is still
+// connected. fasthttp does not report disconnects while a handler runs. A check is one
 // system call.
-const presencePoll = 200 * time.Millisecond
+const presencePollInterval = 200 * time.Millisecond
 
-// tcpEstablished is the state of a connection that neither side has closed
-// (TCP_ESTABLISHED in Linux' net/tcp_states.h).
+// tcpEstablished is TCP_ESTABLISHED of Linux's net/tcp_states.h.
 const tcpEstablished = 1
 
-// callerLeftError ends the work for a caller that has closed its connection.
+// callerLeftError is the cause of a context that ended because the caller closed its
+// connection.
 type callerLeftError struct{}
 
 // Error implements error.
 func (callerLeftError) Error() string { return "the caller closed the connection" }
 
-// hasLeft reports whether the work's caller has closed its connection.
-func hasLeft(ctx context.Context) bool {
-	_, isLeft := context.Cause(ctx).(callerLeftError)
-	return isLeft
+// hasCallerLeft reports whether the context ended because the caller closed its
+// connection.
+func hasCallerLeft(ctx context.Context) bool {
+	_, hasLeft := context.Cause(ctx).(callerLeftError)
+	return hasLeft
 }
 
-// context returns the context of the call's work, which ends at the deadline. Unless
-// the answer stays readable under a key, by which the caller may come back for it, it
-// ends when the caller leaves: engines would work on for nobody.
+// context returns the context of a request, which ends at the deadline. Without an
+// idempotency key it also ends when the caller disconnects. With a key, the caller may
+// ask for the answer later.
 func (c *caller) context(request onlineRequest, deadline time.Time, key string) (context.Context, context.CancelFunc) {
-	bounded, cancel := c.gateway.untilDeadline(request, deadline)
+	bounded, cancel := c.gateway.deadlineContext(request, deadline)
 	if key != "" {
 		return bounded, cancel
 	}
-	watched, leave := context.WithCancelCause(bounded)
-	go watchCaller(watched, c.call.Conn(), leave)
+	watched, endWork := context.WithCancelCause(bounded)
+	go watchCaller(watched, c.call.Conn(), endWork)
 	return watched, cancel
 }
 
-// watchCaller calls leave when the connection is closed by its caller, and returns when
-// the context ends.
-func watchCaller(ctx context.Context, connection net.Conn, leave context.CancelCauseFunc) {
-	ticker := time.NewTicker(presencePoll)
+// watchCaller calls cancel when the caller closes the connection. It returns then or
+// when the context ends.
+func watchCaller(ctx context.Context, connection net.Conn, cancel context.CancelCauseFunc) {
+	ticker := time.NewTicker(presencePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -54,17 +55,17 @@
 			return
 		case <-ticker.C:
 			if isClosedByCaller(connection) {
-				leave(callerLeftError{})
+				cancel(callerLeftError{})
 				return
 			}
 		}
 	}
 }
 
-// isClosedByCaller reports whether the other side has closed the connection, or it was
-// given up as lost. Bytes of a next request do not hide that.
+// isClosedByCaller reports whether the other side has closed the connection or the
+// connection is lost. Unread bytes of a pipelined request do not affect the result.
 func isClosedByCaller(connection net.Conn) bool {
-	raw, hasRaw := bareConnection(connection).(syscall.Conn)
+	raw, hasRaw := underlyingConnection(connection).(syscall.Conn)
 	if !hasRaw {
 		return false
 	}
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -376,8 +376,8 @@
 	source := gateway.newGeneration(promiseRequest(true), nil)
 	source.ran.Sent()
 	end()
-	requireTrue(t, &scriptedEngine{ran: 1}, true, source.expired(ctx, ctx.Err()))
-	requireTrue(t, &scriptedEngine{}, true, gateway.newGeneration(promiseRequest(true), nil).expired(ctx, ctx.Err()))
+	requireTrue(t, &scriptedEngine{ran: 1}, true, source.endedError(ctx, ctx.Err()))
+	requireTrue(t, &scriptedEngine{}, true, gateway.newGeneration(promiseRequest(true), nil).endedError(ctx, ctx.Err()))
 }
 
 // TestRequestThatMayHaveRunGoesToNoOtherZone: a request whose attempt here has an
@@ -387,8 +387,8 @@
 	gateway := newPromiseGateway(t, &scriptedEngine{})
 	for _, code := range []string{codeNoEngine, codeEnginesFull} {
 		source := gateway.newGeneration(promiseRequest(true), nil)
-		require.True(t, mayBeServedElsewhere(source.giveUp(code, "x")))
+		require.True(t, canForward(source.overloadedError(code, "x")))
 		source.ran.Sent()
-		require.False(t, mayBeServedElsewhere(source.giveUp(code, "x")))
+		require.False(t, canForward(source.overloadedError(code, "x")))
 	}
 }
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -10,18 +10,18 @@
 	"topazpulley/internal/failure"
 )
 
-// ErrorBody is the body of every failed call.
+// ErrorBody is the response body of every failed call.
 type ErrorBody struct {
 	Error *failure.Error `json:"error"`
 }
 
-// Health is the body of /healthz.
+// Health is the response body of /healthz.
 type Health struct {
 	Healthy bool `json:"healthy"`
 }
 
-// writeFailure answers with a typed failure, and counts input that is refused as
-// malformed by its code: codes of such failures are words of the program, not of callers.
+// writeFailure answers with a typed failure and counts malformed input by error code.
+// Callers do not choose the codes, so the number of metric series is bounded.
 func (g *Gateway) writeFailure(call *fasthttp.RequestCtx, err error) {
 	typed := failure.From(err)
 	if typed.Kind == failure.KindInvalid || typed.Kind == failure.KindTooLarge {
@@ -46,10 +46,10 @@
 	call.SetBody(encoded)
 }
 
-// decodeBody reads a JSON body.
+// decodeBody parses the JSON request body.
 func decodeBody(call *fasthttp.RequestCtx, target any) error {
 	if err := json.Unmarshal(call.PostBody(), target); err != nil {
-		return failure.Wrap(err, failure.KindInvalid, "bad_json", "the body is not JSON of the expected types").WithNotRun()
+		return failure.Wrap(err, failure.KindInvalid, "bad_json", "the body is not valid JSON with fields of the expected types").WithNotRun()
 	}
 	return nil
 }
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -12,8 +12,8 @@
 	"topazpulley/internal/peer"
 )
 
-// MethodKeepResult gives another daemon a finished answer to store once the
-// platform is back.
+// MethodKeepResult is the peer call that sends a complete answer to another daemon,
+// which stores it when the platform is available again.
 const MethodKeepResult = "result.keep"
 
 const (
@@ -23,7 +23,7 @@
 	maxBackgroundSaves = 4096
 )
 
-// keptResult is a finished answer on its way to the object store.
+// keptResult is a complete answer that is to be written to the object store.
 type keptResult struct {
 	Object  string
 	Content []byte
@@ -35,10 +35,10 @@
 // Schema implements peer.Message.
 func (keptResult) Schema() avro.Schema { return keptResultSchema }
 
-// saveResult makes an answer readable before its last part goes out: in the
-// object store, or, while the platform is down or slow, in the memory of this
-// daemon and of one in another zone, which both store it later. The object is
-// immutable, so storing it twice does no harm.
+// saveResult stores a complete answer before its last part is sent. While the platform
+// is unavailable or slow, this daemon and another one, in another zone if possible,
+// keep the answer in memory and store it later. The object is immutable, so storing it
+// twice is safe.
 func (g *Gateway) saveResult(ctx context.Context, result keptResult) {
 	if g.Platform.Available() {
 		bounded, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -47,48 +47,49 @@
 			return
 		}
 	}
-	g.keepElsewhere(ctx, result)
+	g.copyToPeer(ctx, result)
 	if err := g.storeLater(result); err != nil {
 		g.Logger.Error("result_not_stored", "object", result.Object, "error", err)
 	}
 }
 
-// keepElsewhere copies an answer to another daemon, best in another zone.
-func (g *Gateway) keepElsewhere(ctx context.Context, result keptResult) {
+// copyToPeer copies an answer to another daemon, in another zone if possible.
+func (g *Gateway) copyToPeer(ctx context.Context, result keptResult) {
 	for range keepTries {
-		keeper, found := g.resultKeeper()
+		target, found := g.resultPeer()
 		if !found {
 			return
 		}
 		bounded, cancel := context.WithTimeout(ctx, keepTimeout)
-		_, err := peer.Call[keptResult, peer.Empty](bounded, g.Transport, keeper.Address, MethodKeepResult, result)
+		_, err := peer.Call[keptResult, peer.Empty](bounded, g.Transport, target.Address, MethodKeepResult, result)
 		cancel()
 		if err == nil {
 			return
 		}
-		g.Logger.Info("result_copy_failed", "peer", keeper.Name, "error", err)
+		g.Logger.Info("result_copy_failed", "peer", target.Name, "error", err)
 	}
 }
 
-// resultKeeper picks a live daemon of another zone, or else of this one.
-func (g *Gateway) resultKeeper() (membership.Member, bool) {
-	isOther := func(member membership.Member) bool { return member.Zone != g.Settings.Zone }
-	if keeper, found := g.randomMember(isOther); found {
-		return keeper, true
+// resultPeer picks an alive daemon of another zone, or else of this zone.
+func (g *Gateway) resultPeer() (membership.Member, bool) {
+	isOtherZone := func(member membership.Member) bool { return member.Zone != g.Settings.Zone }
+	if target, found := g.randomMember(isOtherZone); found {
+		return target, true
 	}
 	return g.randomMember(func(member membership.Member) bool { return member.Name != g.Settings.Name })
 }
 
+// keepResult handles MethodKeepResult.
 func (g *Gateway) keepResult(_ context.Context, _ string, result keptResult) (peer.Empty, error) {
 	return peer.Empty{}, g.storeLater(result)
 }
 
-// storeLater stores an answer in the background until the platform is back. It
-// refuses when too many wait already.
+// storeLater stores an answer in the background and returns at once. It fails if
+// maxBackgroundSaves answers already wait.
 func (g *Gateway) storeLater(result keptResult) error {
 	if g.backgroundSaves.Add(1) > maxBackgroundSaves {
 		g.backgroundSaves.Add(-1)
-		return failure.New(failure.KindOverloaded, "too_many_results", "more than %d answers wait for the platform", maxBackgroundSaves)
+		return failure.New(failure.KindOverloaded, "too_many_results", "more than %d answers wait to be stored", maxBackgroundSaves)
 	}
 	g.inFlight.Add(1)
 	go func() {
--- a/internal/gateway/sleep_test.go
+++ b/internal/gateway/sleep_test.go
@@ -80,7 +80,7 @@
 func (g *sleepingGateway) serve(patience time.Duration, isPlain, isRepeatable bool, record intentRecorder) error {
 	request := promiseRequest(isRepeatable)
 	request.arrivedMark = g.Clock.Mark()
-	ctx, cancel := g.untilDeadline(request, time.Now().Add(patience))
+	ctx, cancel := g.deadlineContext(request, time.Now().Add(patience))
 	defer cancel()
 	source := g.newGeneration(request, record)
 	defer source.close()
--- a/internal/gateway/spill.go
+++ b/internal/gateway/spill.go
@@ -15,7 +15,7 @@
 	"topazpulley/internal/routing"
 )
 
-// prefixZone starts the keys of the per-zone aggregates that all zones see.
+// prefixZone is the key prefix of the per-zone aggregates, which all zones receive.
 const prefixZone = "zone/"
 
 const (
@@ -24,10 +24,10 @@
 	forwardTries      = 3
 )
 
-// zoneAggregate is what other zones know of a zone's service.
+// zoneAggregate is the published capacity of a service in one zone.
 type zoneAggregate struct {
-	// Serving counts the engines that serve, and Free the online requests that
-	// they have room for.
+	// Serving is the number of serving engines, and Free the number of online requests
+	// that they can still accept.
 	Serving int
 	Free    int
 }
@@ -35,20 +35,21 @@
 var aggregateSchema = avrocodec.MustParse(`{"type":"record","name":"ZoneAggregate","fields":[
 	{"name":"Serving","type":"int"},{"name":"Free","type":"int"}]}`)
 
-// RunAggregates publishes this zone's aggregates, by service, while the duty
-// falls to this daemon.
+// RunAggregates publishes this zone's aggregate of each service while this daemon has
+// the duty, until the context ends.
 func (g *Gateway) RunAggregates(ctx context.Context) {
 	sent := map[string]sentAggregate{}
 	periodic.Run(ctx, aggregateInterval, func() { g.publishAggregates(sent) })
 }
 
-// sentAggregate is what was last published of a service.
+// sentAggregate is the last published aggregate of a service and its time.
 type sentAggregate struct {
 	aggregate zoneAggregate
 	at        time.Time
 }
 
-// publishAggregates publishes what changed, and everything from time to time.
+// publishAggregates publishes changed aggregates, and unchanged ones every
+// aggregateRefresh.
 func (g *Gateway) publishAggregates(sent map[string]sentAggregate) {
 	if duty.Owner("aggregate/"+g.Settings.Zone, g.Node.ZoneNames()) != g.Settings.Name {
 		return
@@ -88,8 +89,8 @@
 	g.Node.Publish(membership.Item{Key: prefixZone + g.Settings.Zone + "/" + service, Priority: membership.PriorityLoad, Payload: payload})
 }
 
-// otherZones returns the zones that have room for a service, the nearest
-// first: those of this region, then by free room.
+// otherZones returns the other zones with free capacity for a service, in random
+// order.
 func (g *Gateway) otherZones(service string) []string {
 	zones := []string{}
 	items := g.Node.Items(func(key string) bool {
@@ -107,8 +108,8 @@
 	return zones
 }
 
-// spill forwards the call to a daemon of another zone that has room. It
-// returns true when it has written the answer.
+// spill forwards the call to a daemon of another zone with free capacity, unless the
+// call was itself forwarded. It returns true if it has written the answer.
 func (c *caller) spill(service string) bool {
 	if len(c.call.Request.Header.Peek(HeaderHop)) > 0 {
 		return false
@@ -130,7 +131,7 @@
 	return false
 }
 
-// randomMember picks one of the alive members that accept chooses.
+// randomMember picks a random alive member for which accept returns true.
 func (g *Gateway) randomMember(accept func(membership.Member) bool) (membership.Member, bool) {
 	candidates := []membership.Member{}
 	for _, member := range g.Node.Members() {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -8,7 +8,7 @@
 	"topazpulley/internal/failure"
 )
 
-// Readiness is the body of /readyz.
+// Readiness is the response body of /readyz.
 type Readiness struct {
 	Ready    bool   `json:"ready"`
 	Revision int64  `json:"revision"`
@@ -27,7 +27,7 @@
 	}
 }
 
-// Status is the body of the operators' status page.
+// Status is the response body of the operators' status page.
 type Status struct {
 	Daemon       string         `json:"daemon"`
 	Zone         string         `json:"zone"`
@@ -46,7 +46,8 @@
 	Engines      []EngineStatus `json:"engines"`
 }
 
-// Duties describes what this daemon holds.
+// Duties lists the engines that this daemon supervises and describes its state as a
+// coordinator.
 type Duties struct {
 	Engines     []string `json:"engines"`
 	Coordinator string   `json:"coordinator"`
@@ -114,7 +115,7 @@
 
 func (c *caller) listModels() {
 	if !c.call.IsGet() {
-		c.gateway.writeFailure(c.call, failure.New(failure.KindInvalid, "bad_method", "models are listed by GET").WithNotRun())
+		c.gateway.writeFailure(c.call, failure.New(failure.KindInvalid, "bad_method", "use GET to list models").WithNotRun())
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,9 +11,9 @@
 	"topazpulley/internal/httphead"
 )
 
-// streamBody answers with a body that is sent as write flushes it. An error of write
-// tells that the body has been cut: the connection is reset, so that it cannot look
-// complete. write is called once, after the handler of the call has returned.
+// streamBody answers with a body that is sent whenever write flushes it. If write
+// returns an error, the connection is reset, so that the truncated body does not look
+// complete. write is called once, after the call's handler has returned.
 func (c *caller) streamBody(write func(output *bufio.Writer) error) {
 	connection := c.call.Conn()
 	if !c.call.Request.Header.IsHTTP11() {
@@ -21,16 +21,16 @@
 		return
 	}
 	c.call.SetBodyStreamWriter(func(output *bufio.Writer) {
-		passed := bufio.NewWriter(&timedWriter{connection: connection, target: output, flush: output.Flush})
-		if write(passed) != nil || passed.Flush() != nil {
+		timed := bufio.NewWriter(&timedWriter{connection: connection, target: output, flush: output.Flush})
+		if write(timed) != nil || timed.Flush() != nil {
 			resetConnection(connection)
 		}
 	})
 }
 
-// streamUntilClose answers a caller that asks in HTTP/1.0 and knows no chunks (RFC 9112
-// section 7.1): the body ends with the connection. The library that serves the
-// connection frames every stream in chunks, so that it is taken from it.
+// streamUntilClose answers an HTTP/1.0 caller, which does not support chunked encoding
+// (RFC 9112 section 7.1). The body ends when the connection closes. The connection is
+// hijacked, because fasthttp sends every stream in chunks.
 func (c *caller) streamUntilClose(connection net.Conn, write func(output *bufio.Writer) error) {
 	message := httphead.NewAnswer(c.call.Response.StatusCode(), c.call.IsHead())
 	message.Field(fasthttp.HeaderContentType, string(c.call.Response.Header.ContentType()))
@@ -57,7 +57,7 @@
 	})
 }
 
-// isFraming names the fields that streamUntilClose writes itself or leaves out.
+// isFraming reports whether streamUntilClose writes or omits a header field itself.
 func isFraming(name string) bool {
 	switch name {
 	case fasthttp.HeaderContentType, fasthttp.HeaderContentLength, fasthttp.HeaderTransferEncoding, fasthttp.HeaderConnection:
@@ -66,13 +66,12 @@
 	return false
 }
 
-// timedWriter gives each part of a stream its own time to be taken by the caller. Left
-// alone, the server's limit counts from the beginning of the answer, and cuts every
-// stream that lasts longer.
+// timedWriter sets a new write deadline for each part of a stream. The server's own
+// write timeout covers the entire answer and would truncate longer streams.
 type timedWriter struct {
 	connection net.Conn
 	target     io.Writer
-	// flush sends on what the target holds back; nil where it holds nothing back.
+	// flush flushes the target; nil if the target is unbuffered.
 	flush func() error
 }
 
@@ -88,25 +87,26 @@
 	return count, err
 }
 
-// layered is a connection that runs within another one, as with TLS.
-type layered interface{ NetConn() net.Conn }
+// wrapped is a connection over another one, such as TLS.
+type wrapped interface{ NetConn() net.Conn }
 
-// bareConnection is the connection at the bottom of others.
-func bareConnection(connection net.Conn) net.Conn {
+// underlyingConnection returns the innermost connection.
+func underlyingConnection(connection net.Conn) net.Conn {
 	for {
-		upper, isLayered := connection.(layered)
-		if !isLayered {
+		upper, isWrapped := connection.(wrapped)
+		if !isWrapped {
 			return connection
 		}
 		connection = upper.NetConn()
 	}
 }
 
-// resetConnection closes a connection so that what was sent on it cannot look complete.
+// resetConnection resets a connection, so that a truncated answer does not look
+// complete.
 func resetConnection(connection net.Conn) {
-	bare := bareConnection(connection)
-	if tcp, isTCP := bare.(*net.TCPConn); isTCP {
+	underlying := underlyingConnection(connection)
+	if tcp, isTCP := underlying.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
 	}
-	_ = bare.Close()
+	_ = underlying.Close()
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -198,7 +198,7 @@
 		t.Run(name, func(t *testing.T) {
 			wait := 5 * time.Second
 			if key != "" {
-				wait = 5 * presencePoll
+				wait = 5 * presencePollInterval
 			}
 			began, left := make(chan struct{}), make(chan struct{})
 			isOver, over := context.WithCancel(t.Context())
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -97,7 +97,7 @@
 mutant no_end_marker internal/engine/client.go \
 	'if event.Count != s.next {' 'if false {' internal/engine TestAnswerWithoutItsCountIsNotWhole
 mutant no_result_copy internal/gateway/results.go \
-	'	g.keepElsewhere(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
+	'	g.copyToPeer(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
 mutant no_job_identity internal/batch/store.go \
 	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestResentJobIsTheSameJob
 mutant all_failures_not_run internal/engine/client.go \
@@ -287,7 +287,7 @@
 mutant late_evidence_excused internal/quarantine/successes.go \
 	'	case age > crashGroupTime:' '	case false:' internal/quarantine TestOldEvidenceIsNotExcused
 mutant forwarded_call_outlives_its_caller internal/gateway/forward.go \
-	'context.AfterFunc(watched, passed.end)' 'context.AfterFunc(context.Background(), passed.end)' internal/gateway TestCallerThatLeavesEndsAForwardedWholeAnswer
+	'context.AfterFunc(watched, forwarded.close)' 'context.AfterFunc(context.Background(), forwarded.close)' internal/gateway TestCallerThatLeavesEndsAForwardedWholeAnswer
 mutant quarantined_sent internal/serving/guarded.go \
 	'if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {' 'if true {' internal/serving TestGuardedSenderRefusesQuarantined
 mutant every_break_is_a_crash internal/serving/guarded.go \
