--- a/internal/gateway/gateway_bench_test.go
+++ b/internal/gateway/gateway_bench_test.go
@@ -10,8 +10,8 @@
 	"topazpulley/internal/harness"
 )
 
-// BenchmarkPlainCall is one call of a plain service through a daemon, whose
-// stand-in takes 2 ms.
+// BenchmarkPlainCall measures one call of a plain service through a daemon to an
+// emulated engine.
 func BenchmarkPlainCall(b *testing.B) {
 	caller := startBench(b)
 	b.ReportAllocs()
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkStream is one short streamed completion through a daemon.
+// BenchmarkStream measures one short streamed completion through a daemon.
 func BenchmarkStream(b *testing.B) {
 	caller := startBench(b)
 	b.ReportAllocs()
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkStreamParallel is the same from several callers at once, which shows
-// requests a second.
+// BenchmarkStreamParallel measures short streamed completions from concurrent
+// callers.
 func BenchmarkStreamParallel(b *testing.B) {
 	caller := startBench(b)
 	b.ReportAllocs()
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/notrun_test.go
@@ -32,30 +32,30 @@
 	"topazpulley/internal/telemetry"
 )
 
-// behaviour is how an engine treats one attempt.
+// behaviour is the response of a scripted engine to one attempt.
 type behaviour int
 
 const (
 	answers behaviour = iota
 	refusesFull
 	refusesDraining
-	refusesOddly
+	refusesUnknownCode
 	rejects
-	breaksBeforeHead
+	breaksBeforeHeaders
 	breaksBeforeToken
 	breaksAfterToken
-	answersAnother
+	answersWrongAttempt
 	behaviours
 )
 
-// scriptedEngine is an engine that treats attempts as drawn and records which it
-// began to run.
+// scriptedEngine responds to attempts as scripted and counts the attempts that
+// it started to run. After the script it refuses attempts as full.
 type scriptedEngine struct {
-	mutex sync.Mutex
-	draw  []behaviour
-	sends int
-	ran   int
-	// resumable tells that the engine goes on with attempts that broke.
+	mutex  sync.Mutex
+	script []behaviour
+	sends  int
+	ran    int
+	// resumable means that broken attempts can be resumed.
 	resumable bool
 }
 
@@ -63,8 +63,8 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	chosen := refusesFull
-	if e.sends < len(e.draw) {
-		chosen = e.draw[e.sends]
+	if e.sends < len(e.script) {
+		chosen = e.script[e.sends]
 	}
 	e.sends++
 	if chosen != refusesFull && chosen != refusesDraining && chosen != rejects {
@@ -84,8 +84,8 @@
 	writer.(http.Flusher).Flush()
 }
 
-// breakOff closes the connection in the middle.
-func breakOff(writer http.ResponseWriter) {
+// abortConnection resets the connection before the response is complete.
+func abortConnection(writer http.ResponseWriter) {
 	conn, _, err := writer.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -113,12 +113,12 @@
 		refuseWith(writer, http.StatusServiceUnavailable, engine.RefusalFull)
 	case refusesDraining:
 		refuseWith(writer, http.StatusServiceUnavailable, engine.RefusalDraining)
-	case refusesOddly:
+	case refusesUnknownCode:
 		refuseWith(writer, http.StatusInternalServerError, "out_of_memory")
 	case rejects:
 		refuseWith(writer, http.StatusBadRequest, engine.RefusalBadRequest)
-	case breaksBeforeHead:
-		breakOff(writer)
+	case breaksBeforeHeaders:
+		abortConnection(writer)
 	default:
 		e.run(writer, request, chosen, id)
 	}
@@ -137,12 +137,12 @@
 	writer.(http.Flusher).Flush()
 	switch chosen {
 	case breaksBeforeToken:
-		breakOff(writer)
-	case answersAnother:
+		abortConnection(writer)
+	case answersWrongAttempt:
 		event(writer, engine.Event{AttemptID: "another", Token: "x"})
 	case breaksAfterToken:
 		event(writer, engine.Event{AttemptID: id, Token: "x"})
-		breakOff(writer)
+		abortConnection(writer)
 	default:
 		event(writer, engine.Event{AttemptID: id, Token: "x"})
 		event(writer, engine.Event{AttemptID: id, End: true, Count: 1})
@@ -161,9 +161,9 @@
 
 const testService = "s"
 
-// newPromiseGateway is a gateway with three names for one scripted engine, and a
-// fourth that nothing listens behind.
-func newPromiseGateway(t testing.TB, scripted *scriptedEngine) *Gateway {
+// newTestGateway returns a gateway with three engines that share one scripted engine,
+// and a fourth whose address refuses connections.
+func newTestGateway(t testing.TB, scripted *scriptedEngine) *Gateway {
 	t.Helper()
 	server := httptest.NewServer(scripted)
 	t.Cleanup(server.Close)
@@ -188,7 +188,7 @@
 	}
 }
 
-func promiseRequest(repeatable bool) onlineRequest {
+func newTestRequest(repeatable bool) onlineRequest {
 	return onlineRequest{
 		id: "r", service: testService, model: "m", input: json.RawMessage(`"prompt"`), maxTokens: 4, repeatable: repeatable, arrived: time.Now(),
 		arrivedMark: boottime.Clock(nil).Mark(),
@@ -203,59 +203,57 @@
 	return e.ran > 0
 }
 
-// requireTrue checks what a caller is told against what the engine did. Nothing is
-// withheld from a caller whose attempts have all been answered: one that was under
-// way when the time was over may have run for all that is known.
-func requireTrue(t require.TestingT, scripted *scriptedEngine, isInTime bool, err error) {
+// requireCorrectNotRun checks that an error is reported as not run only if the engine
+// ran no attempt. If it ran none, the error must be reported as not run, unless the
+// deadline passed while an attempt was in progress.
+func requireCorrectNotRun(t require.TestingT, scripted *scriptedEngine, isBeforeDeadline bool, err error) {
 	if err == nil {
 		return
 	}
-	told := failure.From(err)
-	isPromise := told.NotRun || told.Status() == http.StatusTooManyRequests || told.Status() == http.StatusServiceUnavailable
+	answer := failure.From(err)
+	isNotRun := answer.NotRun || answer.Status() == http.StatusTooManyRequests || answer.Status() == http.StatusServiceUnavailable
 	if scripted.hasRun() {
-		require.False(t, isPromise, "told not run, though an engine had begun: %v", err)
+		require.False(t, isNotRun, "reported as not run, but an engine ran it: %v", err)
 		return
 	}
-	require.True(t, isPromise || !isInTime || told.Kind == failure.KindDeadline, "nothing ran, and the caller is not told so: %v", err)
+	require.True(t, isNotRun || !isBeforeDeadline || answer.Kind == failure.KindDeadline, "no engine ran it, but not reported as not run: %v", err)
 }
 
-// TestNotRunIsTrueAfterUnknownAttempts: a request that may be repeated was sent,
-// its end could not be learnt, and all other engines refused it. The caller was
-// told 429 "not run", because the answer looked at the tokens that had come and at
-// resumptions, not at what had been sent.
-func TestNotRunIsTrueAfterUnknownAttempts(t *testing.T) {
-	for name, draw := range map[string][]behaviour{
-		"answer of another attempt, then refused":    {answersAnother, refusesFull, refusesFull, refusesFull},
-		"broken before its head, then refused":       {breaksBeforeHead, refusesFull, refusesFull, refusesFull},
-		"odd refusal, then refused":                  {refusesOddly, refusesFull, refusesFull, refusesFull},
-		"broken before its head, then rejected":      {breaksBeforeHead, rejects},
-		"broken before its first token, then full":   {breaksBeforeToken, refusesFull, refusesFull, refusesFull},
-		"broken after a token, then rejected":        {breaksAfterToken, rejects},
-		"refused by all":                             {refusesFull, refusesDraining, refusesFull, refusesFull},
-		"rejected at once":                           {rejects},
-		"another answer, then rejected as malformed": {answersAnother, rejects},
+// TestNotRunAfterUnknownOutcome checks that a repeatable request is not reported as not
+// run if an attempt had an unknown outcome and the other engines then refused it.
+func TestNotRunAfterUnknownOutcome(t *testing.T) {
+	for name, script := range map[string][]behaviour{
+		"answer of another attempt, then refused":       {answersWrongAttempt, refusesFull, refusesFull, refusesFull},
+		"broken before response headers, then refused":  {breaksBeforeHeaders, refusesFull, refusesFull, refusesFull},
+		"unknown refusal code, then refused":            {refusesUnknownCode, refusesFull, refusesFull, refusesFull},
+		"broken before response headers, then rejected": {breaksBeforeHeaders, rejects},
+		"broken before first token, then full":          {breaksBeforeToken, refusesFull, refusesFull, refusesFull},
+		"broken after a token, then rejected":           {breaksAfterToken, rejects},
+		"refused by all engines":                        {refusesFull, refusesDraining, refusesFull, refusesFull},
+		"rejected by the first engine":                  {rejects},
+		"answer of another attempt, then rejected":      {answersWrongAttempt, rejects},
 	} {
 		t.Run(name, func(t *testing.T) {
-			scripted := &scriptedEngine{draw: draw}
-			gateway := newPromiseGateway(t, scripted)
+			scripted := &scriptedEngine{script: script}
+			gateway := newTestGateway(t, scripted)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			generation := gateway.newGeneration(promiseRequest(true), nil)
+			generation := gateway.newGeneration(newTestRequest(true), nil)
 			defer generation.close()
-			requireTrue(t, scripted, true, drain(ctx, generation))
+			requireCorrectNotRun(t, scripted, true, drain(ctx, generation))
 		})
 		t.Run("call: "+name, func(t *testing.T) {
-			scripted := &scriptedEngine{draw: draw}
-			gateway := newPromiseGateway(t, scripted)
+			scripted := &scriptedEngine{script: script}
+			gateway := newTestGateway(t, scripted)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			_, err := gateway.newGeneration(promiseRequest(true), nil).call(ctx, engine.CallRequest{Method: "POST", Path: "/x"})
-			requireTrue(t, scripted, true, err)
+			_, err := gateway.newGeneration(newTestRequest(true), nil).call(ctx, engine.CallRequest{Method: "POST", Path: "/x"})
+			requireCorrectNotRun(t, scripted, true, err)
 		})
 	}
 }
 
-// drain reads a generation to its end.
+// drain reads a generation until it ends or fails.
 func drain(ctx context.Context, source *generation) error {
 	for {
 		event, err := source.next(ctx)
@@ -265,21 +263,21 @@
 	}
 }
 
-// TestPromisesOverRandomAttempts: any sequence of ends, with and without
-// resumption, of requests that may and may not be repeated, also when time runs
-// out.
-func TestPromisesOverRandomAttempts(t *testing.T) {
+// TestNotRunOverRandomOutcomes checks the not-run report over random sequences of attempt
+// outcomes, with and without resumption, for repeatable and non-repeatable requests, and
+// when the deadline passes.
+func TestNotRunOverRandomOutcomes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		scripted := &scriptedEngine{resumable: rapid.Bool().Draw(r, "resumable")}
 		for range rapid.IntRange(0, 5).Draw(r, "attempts") {
-			scripted.draw = append(scripted.draw, behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(r, "behaviour")))
+			scripted.script = append(scripted.script, behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(r, "behaviour")))
 		}
-		gateway := newPromiseGateway(t, scripted)
+		gateway := newTestGateway(t, scripted)
 		limit := rapid.SampledFrom([]time.Duration{20 * time.Millisecond, 200 * time.Millisecond}).Draw(r, "time")
 		deadline := time.Now().Add(limit)
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		source := gateway.newGeneration(promiseRequest(rapid.Bool().Draw(r, "repeatable")), nil)
+		source := gateway.newGeneration(newTestRequest(rapid.Bool().Draw(r, "repeatable")), nil)
 		defer source.close()
 		var err error
 		if rapid.Bool().Draw(r, "plain") {
@@ -287,30 +285,30 @@
 		} else {
 			err = drain(ctx, source)
 		}
-		requireTrue(r, scripted, time.Now().Before(deadline), err)
+		requireCorrectNotRun(r, scripted, time.Now().Before(deadline), err)
 	})
 }
 
-// TestRequestThatEndsEnginesIsStopped: a request that may be repeated and ends
-// every engine that runs it went on to the next one up to twelve times in one
-// call, and again in the next.
-func TestRequestThatEndsEnginesIsStopped(t *testing.T) {
+// TestCrashingRequestIsQuarantined checks that a request that crashes engines is
+// quarantined after three crashes and not sent to further engines, within one call or in
+// later ones.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
-		t.Run(fmt.Sprint("repeatable ", repeatable), func(t *testing.T) { requireStopped(t, repeatable) })
+		t.Run(fmt.Sprint("repeatable ", repeatable), func(t *testing.T) { requireQuarantined(t, repeatable) })
 	}
 }
 
-func requireStopped(t *testing.T, repeatable bool) {
-	engines := []*endingEngine{}
-	gateway := newPromiseGateway(t, &scriptedEngine{})
+func requireQuarantined(t *testing.T, repeatable bool) {
+	engines := []*crashingEngine{}
+	gateway := newTestGateway(t, &scriptedEngine{})
 	for _, name := range []string{"e1", "e2", "e3", "dead"} {
 		gateway.Registry.Apply(membership.Item{Key: registry.PrefixMachine + name, Version: 2, Payload: registry.MachineRecord{Service: testService, Removed: true}.Encode()})
 	}
 	for number := range 8 {
-		ending := newEndingEngine(t)
-		engines = append(engines, ending)
+		crashing := newCrashingEngine(t)
+		engines = append(engines, crashing)
 		name := fmt.Sprintf("ending%d", number)
-		gateway.Registry.Apply(membership.Item{Key: registry.PrefixMachine + name, Payload: registry.MachineRecord{Address: ending.address, Service: testService}.Encode()})
+		gateway.Registry.Apply(membership.Item{Key: registry.PrefixMachine + name, Payload: registry.MachineRecord{Address: crashing.address, Service: testService}.Encode()})
 		record := registry.EngineRecord{Up: true, State: string(engine.StateReady), Models: []string{"m@1"}}
 		gateway.Registry.Apply(membership.Item{Key: registry.PrefixEngine + name, Payload: record.Encode()})
 	}
@@ -320,73 +318,73 @@
 	var last error
 	for range 6 {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		last = drain(ctx, gateway.newGeneration(promiseRequest(repeatable), nil))
+		last = drain(ctx, gateway.newGeneration(newTestRequest(repeatable), nil))
 		cancel()
 		require.Error(t, last)
 		time.Sleep(50 * time.Millisecond)
 	}
-	ended := 0
+	crashed := 0
 	for _, each := range engines {
-		if each.hasEnded.Load() {
-			ended++
+		if each.hasCrashed.Load() {
+			crashed++
 		}
 	}
-	require.Equal(t, 3, ended)
+	require.Equal(t, 3, crashed)
 	require.True(t, failure.HasCode(last, engine.CodeQuarantined))
-	require.True(t, failure.From(last).NotRun, "this call was sent to no engine")
+	require.True(t, failure.From(last).NotRun, "the quarantined call is not reported as not run")
 	require.Positive(t, failure.From(last).RetryAfter)
 }
 
-// endingEngine ends with all its connections when it begins to run a request.
-type endingEngine struct {
-	address  string
-	listener net.Listener
-	hasEnded atomic.Bool
+// crashingEngine closes its listener and connection when it starts to run a request.
+type crashingEngine struct {
+	address    string
+	listener   net.Listener
+	hasCrashed atomic.Bool
 }
 
-func newEndingEngine(t *testing.T) *endingEngine {
+func newCrashingEngine(t *testing.T) *crashingEngine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &endingEngine{address: listener.Addr().String(), listener: listener}
-	go func() { _ = http.Serve(listener, made) }()
+	crashing := &crashingEngine{address: listener.Addr().String(), listener: listener}
+	go func() { _ = http.Serve(listener, crashing) }()
 	t.Cleanup(func() { _ = listener.Close() })
-	return made
+	return crashing
 }
 
 // ServeHTTP implements http.Handler.
-func (e *endingEngine) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
-	e.hasEnded.Store(true)
+func (e *crashingEngine) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
+	e.hasCrashed.Store(true)
 	_ = e.listener.Close()
-	breakOff(writer)
+	abortConnection(writer)
 }
 
-// TestOnlyPromisesHaveTheirStatus: callers of this interface repeat on 429 and 503.
-func TestOnlyPromisesHaveTheirStatus(t *testing.T) {
+// TestRetryStatusRequiresNotRun checks that the statuses 429 and 503, on which callers
+// retry, are used only for requests that did not run.
+func TestRetryStatusRequiresNotRun(t *testing.T) {
 	for _, kind := range []failure.Kind{failure.KindOverloaded, failure.KindUnavailable} {
 		require.Equal(t, http.StatusBadGateway, failure.New(kind, "x", "x").Status())
 		require.Contains(t, []int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, failure.New(kind, "x", "x").WithNotRun().Status())
 	}
-	scripted := &scriptedEngine{draw: []behaviour{breaksBeforeHead}}
-	gateway := newPromiseGateway(t, scripted)
-	ended, end := context.WithCancel(context.Background())
-	gateway.lifetime = ended
-	ctx, cancel := context.WithCancel(ended)
+	scripted := &scriptedEngine{script: []behaviour{breaksBeforeHeaders}}
+	gateway := newTestGateway(t, scripted)
+	lifetime, stop := context.WithCancel(context.Background())
+	gateway.lifetime = lifetime
+	ctx, cancel := context.WithCancel(lifetime)
 	defer cancel()
-	source := gateway.newGeneration(promiseRequest(true), nil)
+	source := gateway.newGeneration(newTestRequest(true), nil)
 	source.ran.Sent()
-	end()
-	requireTrue(t, &scriptedEngine{ran: 1}, true, source.endedError(ctx, ctx.Err()))
-	requireTrue(t, &scriptedEngine{}, true, gateway.newGeneration(promiseRequest(true), nil).endedError(ctx, ctx.Err()))
+	stop()
+	requireCorrectNotRun(t, &scriptedEngine{ran: 1}, true, source.endedError(ctx, ctx.Err()))
+	requireCorrectNotRun(t, &scriptedEngine{}, true, gateway.newGeneration(newTestRequest(true), nil).endedError(ctx, ctx.Err()))
 }
 
-// TestRequestThatMayHaveRunGoesToNoOtherZone: a request whose attempt here has an
-// unknown end was passed to another zone when the other engines here were full,
-// and that zone's "not run" was passed on to the caller.
-func TestRequestThatMayHaveRunGoesToNoOtherZone(t *testing.T) {
-	gateway := newPromiseGateway(t, &scriptedEngine{})
+// TestPossiblyRunRequestIsNotForwarded checks that a request that may have run in this
+// zone is not forwarded. Otherwise the other zone could report it as not run.
+func TestPossiblyRunRequestIsNotForwarded(t *testing.T) {
+	gateway := newTestGateway(t, &scriptedEngine{})
 	for _, code := range []string{codeNoEngine, codeEnginesFull} {
-		source := gateway.newGeneration(promiseRequest(true), nil)
+		source := gateway.newGeneration(newTestRequest(true), nil)
 		require.True(t, canForward(source.overloadedError(code, "x")))
 		source.ran.Sent()
 		require.False(t, canForward(source.overloadedError(code, "x")))
--- a/internal/gateway/presence_test.go
+++ b/internal/gateway/presence_test.go
@@ -15,11 +15,12 @@
 	"topazpulley/internal/registry"
 )
 
-// waitingEngine has no room: it answers an attempt when that is cancelled.
+// waitingEngine is an engine without free capacity: it accepts attempts, does not
+// answer them, and records which are cancelled.
 type waitingEngine struct {
 	began, cancelled chan string
-	// ended lets go of all attempts.
-	ended chan struct{}
+	// release ends all attempts when it is closed.
+	release chan struct{}
 }
 
 // ServeHTTP implements http.Handler.
@@ -29,32 +30,32 @@
 		return
 	}
 	e.began <- ""
-	<-e.ended
+	<-e.release
 }
 
-// TestCallerThatLeavesBeforeTheAnswerEndsTheAttempt: an attempt whose answer had not
-// begun was left at the engine until the request's deadline.
-func TestCallerThatLeavesBeforeTheAnswerEndsTheAttempt(t *testing.T) {
-	waiting := &waitingEngine{began: make(chan string, 8), cancelled: make(chan string, 8), ended: make(chan struct{})}
-	gateway := newPromiseGateway(t, &scriptedEngine{})
+// TestDisconnectBeforeAnswerCancelsAttempt checks that an attempt is cancelled at the
+// engine when the caller disconnects before the answer begins.
+func TestDisconnectBeforeAnswerCancelsAttempt(t *testing.T) {
+	waiting := &waitingEngine{began: make(chan string, 8), cancelled: make(chan string, 8), release: make(chan struct{})}
+	gateway := newTestGateway(t, &scriptedEngine{})
 	address := serveEngine(t, waiting)
-	t.Cleanup(func() { close(waiting.ended) })
+	t.Cleanup(func() { close(waiting.release) })
 	for _, name := range []string{"e1", "e2", "e3", "dead"} {
 		gateway.Registry.Apply(membership.Item{Key: registry.PrefixMachine + name, Version: 2, Payload: registry.MachineRecord{Address: address, Service: testService}.Encode()})
 	}
 	bounded, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	ctx, leave := context.WithCancelCause(bounded)
+	ctx, disconnect := context.WithCancelCause(bounded)
 	ended := make(chan error, 1)
-	go func() { ended <- drain(ctx, gateway.newGeneration(promiseRequest(true), nil)) }()
+	go func() { ended <- drain(ctx, gateway.newGeneration(newTestRequest(true), nil)) }()
 	<-waiting.began
-	leave(callerLeftError{})
+	disconnect(callerLeftError{})
 	select {
 	case id := <-waiting.cancelled:
 		require.Equal(t, "r-1", id)
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the attempt was left at the engine")
+		require.Fail(t, "the attempt was not cancelled at the engine")
 	}
 	require.True(t, failure.HasCode(<-ended, codeCallerLeft))
-	require.Empty(t, waiting.began, "sent again for nobody")
+	require.Empty(t, waiting.began, "sent again after the caller disconnected")
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -19,10 +19,11 @@
 	"topazpulley/internal/settings"
 )
 
-// serveCalls answers each call of a fresh server with what handle does for its caller.
+// serveCalls starts a server that answers each call with handle, and returns its
+// address.
 func serveCalls(t *testing.T, writeTimeout time.Duration, handle func(*caller)) string {
 	t.Helper()
-	gateway := newPromiseGateway(t, &scriptedEngine{})
+	gateway := newTestGateway(t, &scriptedEngine{})
 	gateway.Settings.Zone = "a"
 	gateway.forward = newForwardClient(settings.Settings{})
 	server := &fasthttp.Server{
@@ -36,9 +37,9 @@
 	return listener.Addr().String()
 }
 
-// askRaw sends a request in a version of HTTP and returns all that comes until the
-// connection ends.
-func askRaw(t *testing.T, address, target, version string) (string, error) {
+// requestRaw sends a request with the given HTTP version and returns the bytes received
+// until the connection closes.
+func requestRaw(t *testing.T, address, target, version string) (string, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -49,8 +50,9 @@
 	return string(content), err
 }
 
-// TestOldCallersGetNoChunks: callers that ask in HTTP/1.0 know no chunks.
-func TestOldCallersGetNoChunks(t *testing.T) {
+// TestHTTP10CallersGetNoChunks checks that answers to HTTP/1.0 callers, which do not
+// support chunked encoding, are not chunked.
+func TestHTTP10CallersGetNoChunks(t *testing.T) {
 	address := serveCalls(t, time.Second, func(c *caller) {
 		c.call.SetContentType("text/event-stream")
 		c.streamBody(func(output *bufio.Writer) error {
@@ -58,22 +60,21 @@
 			return err
 		})
 	})
-	got, err := askRaw(t, address, "/", "HTTP/1.0")
+	got, err := requestRaw(t, address, "/", "HTTP/1.0")
 	require.NoError(t, err)
 	head, body, _ := strings.Cut(got, "\r\n\r\n")
 	require.Equal(t, "data: [DONE]\n\n", body)
 	require.NotContains(t, head, "Transfer-Encoding")
 	require.Contains(t, head, "Content-Type: text/event-stream")
-	got, err = askRaw(t, address, "/", "HTTP/1.1")
+	got, err = requestRaw(t, address, "/", "HTTP/1.1")
 	require.NoError(t, err)
 	require.Contains(t, got, "Transfer-Encoding: chunked")
 	require.Contains(t, got, "data: [DONE]\n\n")
 }
 
-// TestLongStreamIsNotCutByTheWriteTimeout: the time that a caller may take to read a
-// part of its answer was counted from the beginning of the answer, so that a stream was
-// cut after 30 s though its caller read all the time.
-func TestLongStreamIsNotCutByTheWriteTimeout(t *testing.T) {
+// TestLongStreamOutlastsWriteTimeout checks that the write timeout applies to each part
+// of a stream and not to the entire answer.
+func TestLongStreamOutlastsWriteTimeout(t *testing.T) {
 	const parts, pause = 12, 100 * time.Millisecond
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		address := serveCalls(t, parts*pause/4, func(c *caller) {
@@ -90,15 +91,15 @@
 				return nil
 			})
 		})
-		got, err := askRaw(t, address, "/", version)
+		got, err := requestRaw(t, address, "/", version)
 		require.NoError(t, err, version)
 		require.Contains(t, got, fmt.Sprintf("part %d\n", parts-1), version)
 	}
 }
 
-// TestForwardedAnswerThatBreaksOffIsNotWhole: an answer of another zone that broke off
-// was ended in proper form, and looked complete.
-func TestForwardedAnswerThatBreaksOffIsNotWhole(t *testing.T) {
+// TestTruncatedForwardedAnswerIsIncomplete checks that an answer that is truncated on the
+// way from the other zone does not look complete to the caller.
+func TestTruncatedForwardedAnswerIsIncomplete(t *testing.T) {
 	for name, length := range map[string]string{"chunks": "", "length": "1000"} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+version, func(t *testing.T) {
@@ -108,7 +109,7 @@
 					}
 					_, _ = writer.Write([]byte("the beginning"))
 					writer.(http.Flusher).Flush()
-					breakOff(writer)
+					abortConnection(writer)
 				}))
 				defer other.Close()
 				address := serveCalls(t, time.Second, func(c *caller) {
@@ -124,16 +125,15 @@
 					return
 				}
 				content, err := io.ReadAll(response.Body)
-				require.Error(t, err, "looks whole: %q", content)
+				require.Error(t, err, "the truncated answer looks complete: %q", content)
 			})
 		}
 	}
 }
 
-// TestForwardedTargetIsAsItCame: a target was normalized on its way to another zone, so
-// that the engine there got another one than its caller had sent; and one in absolute
-// form made an address of two.
-func TestForwardedTargetIsAsItCame(t *testing.T) {
+// TestForwardedTargetIsUnchanged checks that the target of a forwarded request is neither
+// normalized nor merged with the other daemon's address.
+func TestForwardedTargetIsUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	other := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { got <- request.RequestURI }))
 	defer other.Close()
@@ -141,7 +141,7 @@
 		c.forwardTo(membership.Member{HTTPAddress: strings.TrimPrefix(other.URL, "http://")})
 	})
 	for _, target := range []string{"/v1/services/meter/a%2Fb/../c?d=e%0d&f", "//h/v1/", "/v1/a%41"} {
-		_, err := askRaw(t, address, target, "HTTP/1.1")
+		_, err := requestRaw(t, address, target, "HTTP/1.1")
 		require.NoError(t, err)
 		select {
 		case received := <-got:
@@ -152,7 +152,7 @@
 	}
 }
 
-// serveEngine serves an engine and returns its address.
+// serveEngine starts a server with the handler and returns its address.
 func serveEngine(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -163,9 +163,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestCallerThatLeavesEndsAForwardedStream: the other zone's daemon sees its own caller,
-// which is the daemon here, leave too.
-func TestCallerThatLeavesEndsAForwardedStream(t *testing.T) {
+// TestDisconnectEndsForwardedStream checks that the connection to the other zone's daemon
+// is closed when the caller of a forwarded stream disconnects.
+func TestDisconnectEndsForwardedStream(t *testing.T) {
 	left := make(chan struct{})
 	address := serveEngine(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		defer close(left)
@@ -175,8 +175,8 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}))
-	here := serveCalls(t, time.Second, func(c *caller) { c.forwardTo(membership.Member{HTTPAddress: address}) })
-	conn, err := net.Dial("tcp", here)
+	daemon := serveCalls(t, time.Second, func(c *caller) { c.forwardTo(membership.Member{HTTPAddress: address}) })
+	conn, err := net.Dial("tcp", daemon)
 	require.NoError(t, err)
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	require.NoError(t, err)
@@ -186,14 +186,14 @@
 	select {
 	case <-left:
 	case <-time.After(5 * time.Second):
-		require.Fail(t, "the other daemon goes on for nobody")
+		require.Fail(t, "the forwarded call continues after the caller disconnected")
 	}
 }
 
-// TestCallerThatLeavesEndsAForwardedWholeAnswer: the other zone's engine worked on until
-// the deadline, because the connection to its daemon stayed open. With a key it does: the
-// caller may come back for the answer.
-func TestCallerThatLeavesEndsAForwardedWholeAnswer(t *testing.T) {
+// TestDisconnectEndsForwardedAnswer checks that the connection to the other zone's daemon
+// is closed when the caller disconnects before a forwarded answer begins. With an
+// idempotency key it stays open, because the caller may ask for the answer later.
+func TestDisconnectEndsForwardedAnswer(t *testing.T) {
 	for name, key := range map[string]string{"without a key": "", "with a key": HeaderIdempotencyKey + ": k\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			wait := 5 * time.Second
@@ -201,18 +201,18 @@
 				wait = 5 * presencePollInterval
 			}
 			began, left := make(chan struct{}), make(chan struct{})
-			isOver, over := context.WithCancel(t.Context())
-			defer over()
+			released, release := context.WithCancel(t.Context())
+			defer release()
 			address := serveEngine(t, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 				close(began)
 				select {
 				case <-request.Context().Done():
 					close(left)
-				case <-isOver.Done():
+				case <-released.Done():
 				}
 			}))
-			here := serveCalls(t, time.Second, func(c *caller) { c.forwardTo(membership.Member{HTTPAddress: address}) })
-			conn, err := net.Dial("tcp", here)
+			daemon := serveCalls(t, time.Second, func(c *caller) { c.forwardTo(membership.Member{HTTPAddress: address}) })
+			conn, err := net.Dial("tcp", daemon)
 			require.NoError(t, err)
 			_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n"+key+"\r\n")
 			require.NoError(t, err)
@@ -220,9 +220,9 @@
 			require.NoError(t, conn.Close())
 			select {
 			case <-left:
-				require.Empty(t, key, "ended though its caller may come back")
+				require.Empty(t, key, "the forwarded call ended in spite of its idempotency key")
 			case <-time.After(wait):
-				require.NotEmpty(t, key, "the other daemon goes on for nobody")
+				require.NotEmpty(t, key, "the forwarded call continues after the caller disconnected")
 			}
 		})
 	}
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -234,21 +234,21 @@
 mutant silent_link_kept internal/peer/link.go \
 	'if held.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
 mutant every_refusal_promises internal/runrecord/runrecord.go \
-	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunIsTrueAfterUnknownAttempts'
+	'return r.sent > r.neverRan' 'return false' internal/gateway 'TestNotRunAfterUnknownOutcome'
 mutant sends_not_noted internal/serving/exchange.go \
 	'	e.ran.Sent()' '' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant generations_not_noted internal/gateway/generation.go \
-	'	n.ran.Sent()' '' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
+	'	n.ran.Sent()' '' internal/gateway TestNotRunAfterUnknownOutcome
 mutant calls_not_noted internal/gateway/plain.go \
-	'	n.ran.Sent()' '' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
+	'	n.ran.Sent()' '' internal/gateway TestNotRunAfterUnknownOutcome
 mutant refusals_not_noted internal/gateway/generation.go \
-	'		n.ran.NeverRan()' '' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
+	'		n.ran.NeverRan()' '' internal/gateway TestNotRunAfterUnknownOutcome
 mutant odd_refusal_believed internal/engine/client.go \
 	'	return &AttemptError{Outcome: OutcomeUnknown, Code: refusal.Code}
 }' '	return &AttemptError{Outcome: OutcomeNotRun, Code: refusal.Code}
-}' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
+}' internal/gateway TestNotRunAfterUnknownOutcome
 mutant status_promises internal/failure/failure.go \
-	'if isPromise && !e.NotRun {' 'if isPromise && false {' internal/gateway TestOnlyPromisesHaveTheirStatus
+	'if isPromise && !e.NotRun {' 'if isPromise && false {' internal/gateway TestRetryStatusRequiresNotRun
 mutant unsent_taken_for_silent internal/serving/exchange.go \
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant stray_refusal_believed platform/runner.go \
@@ -264,7 +264,7 @@
 mutant resent_job_refused_blindly internal/job/accept.go \
 	'			refused = outcomeUnknown(err)' '' internal/job TestResentJobIsNotRefusedUnlessItIsKnownToBeNew
 mutant spilled_after_an_attempt internal/gateway/completions.go \
-	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestRequestThatMayHaveRunGoesToNoOtherZone
+	'isUnserved && failure.From(err).NotRun' 'isUnserved' internal/gateway TestPossiblyRunRequestIsNotForwarded
 mutant crash_alone_quarantines internal/quarantine/ledger.go \
 	'l.weight(known) < l.policy.Crashes*fullWeight' 'l.weight(known) < fullWeight' internal/quarantine TestThreeCrashesQuarantine
 mutant explained_ends_accuse_others internal/quarantine/ledger.go \
@@ -287,13 +287,13 @@
 mutant late_evidence_excused internal/quarantine/successes.go \
 	'	case age > crashGroupTime:' '	case false:' internal/quarantine TestOldEvidenceIsNotExcused
 mutant forwarded_call_outlives_its_caller internal/gateway/forward.go \
-	'context.AfterFunc(watched, forwarded.close)' 'context.AfterFunc(context.Background(), forwarded.close)' internal/gateway TestCallerThatLeavesEndsAForwardedWholeAnswer
+	'context.AfterFunc(watched, forwarded.close)' 'context.AfterFunc(context.Background(), forwarded.close)' internal/gateway TestDisconnectEndsForwardedAnswer
 mutant quarantined_sent internal/serving/guarded.go \
 	'if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {' 'if true {' internal/serving TestGuardedSenderRefusesQuarantined
 mutant every_break_is_a_crash internal/serving/guarded.go \
 	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
-	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
+	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestCrashingRequestIsQuarantined
 mutant silent_store_connections_kept platform/store.go \
 	'			s.client.CloseIdleConnections()' '' platform TestSilentStoreConnectionsCostOneCall
 mutant silent_back_end_connections_kept platform/runner.go \
@@ -309,11 +309,11 @@
 mutant only_ended_times_noticed internal/boottime/deadline.go \
 	'	if e.isStopped {' '	if e.isStopped || slept < time.Until(e.deadline) {' internal/serving TestRequestEndsAfterSuspensionPastDeadline
 mutant asleep_timers_believed_by_the_gateway internal/gateway/deadline.go \
-	'g.Wakeups.WithDeadline(g.lifetime, deadline, request.arrivedMark)' 'context.WithDeadline(g.lifetime, deadline)' internal/gateway TestRequestsWhoseTimeIsOverEndAfterASleep
+	'g.Wakeups.WithDeadline(g.lifetime, deadline, request.arrivedMark)' 'context.WithDeadline(g.lifetime, deadline)' internal/gateway TestDeadlineAppliesAfterSuspension
 mutant engines_waited_for_after_a_sleep internal/engine/send.go \
-	'	case <-ctx.Done():' '	case <-context.Background().Done():' internal/gateway TestRequestsWhoseTimeIsOverEndAfterASleep
+	'	case <-ctx.Done():' '	case <-context.Background().Done():' internal/gateway TestDeadlineAppliesAfterSuspension
 mutant sent_after_a_sleep internal/gateway/deadline.go \
-	'isBounded && time.Until(deadline)' 'isBounded && false && time.Until(deadline)' internal/gateway TestNothingIsSentForACallerThatLeftDuringASleep
+	'isBounded && time.Until(deadline)' 'isBounded && false && time.Until(deadline)' internal/gateway TestNothingIsSentAfterDeadlineInSuspension
 mutant good_ends_outlive_sleep internal/quarantine/guard.go \
 	'g.successes.record(fingerprint, g.Clock.Now())' 'g.successes.record(fingerprint, g.Clock.Now().Add(time.Hour))' internal/quarantine TestSuccessesExpireDuringSleep
 mutant asleep_is_settled internal/table/settling.go \
@@ -368,9 +368,9 @@
 mutant chunks_for_old_callers platform/ingress.go \
 	'respond.isOld = !c.header.Header.IsHTTP11()' 'respond.isOld = false' platform TestOldCallersGetNoChunks
 mutant cut_forward_looks_whole internal/gateway/stream.go \
-	'resetConnection(connection)' '' internal/gateway TestForwardedAnswerThatBreaksOffIsNotWhole
+	'resetConnection(connection)' '' internal/gateway TestTruncatedForwardedAnswerIsIncomplete
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
-	'SetWriteDeadline(' 'SetReadDeadline(' internal/gateway TestLongStreamIsNotCutByTheWriteTimeout
+	'SetWriteDeadline(' 'SetReadDeadline(' internal/gateway TestLongStreamOutlastsWriteTimeout
 mutant gone_caller_not_noticed internal/gateway/presence.go \
 	'if isClosedByCaller(connection) {' 'if false {' internal/harness TestCallerOfAWholeAnswerThatLeavesEndsItsGeneration
 for part in test/mutants.d/*.sh; do
