--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -2,15 +2,15 @@
 mutant fourth_figure_voids_the_report platform/load.go \
 	'if len(parts) < loadFields {' 'if len(parts) != loadFields {' platform TestLoadReports
 mutant absurd_figures_believed platform/load.go \
-	'if number < 0 || number > mostRequests {' 'if false {' platform TestLoadReports
+	'if number < 0 || number > maxRequests {' 'if false {' platform TestLoadReports
 mutant absurd_work_believed platform/load.go \
-	'case percent <= 0 || percent > mostWorkPercent:' 'case false:' platform TestLoadReports
+	'case percent <= 0 || percent > maxWorkPercent:' 'case false:' platform TestLoadReports
 mutant bad_work_voids_the_report platform/answer.go \
-	'return report, !fault.voids()' 'return report, fault == reportWhole' platform TestLoadOfAnAnswer
+	'return report, !fault.isFatal()' 'return report, fault == reportValid' platform TestLoadOfAnAnswer
 mutant odd_entries_listed platform/entry.go \
-	'wire.oddity(key); isOdd {' 'wire.oddity(key); false && isOdd {' platform TestEntriesOfOtherWriters
+	'wire.fault(key); isFaulty {' 'wire.fault(key); false && isFaulty {' platform TestEntriesOfOtherWriters
 mutant odd_births_believed platform/entry.go \
-	'if !isBirth {' 'if false && !isBirth {' platform TestEntriesOfOtherWriters
+	'if !isValid {' 'if false && !isValid {' platform TestEntriesOfOtherWriters
 mutant odd_entry_keeps_its_back_end internal/frontend/consumers.go \
 	'	c.backends.Remove(row.Key)
 ' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
@@ -38,4 +38,4 @@
 mutant later_life_confirms_no_end internal/serving/guarded.go \
 	' || s.backends.HasSuccessor(incarnation)' '' internal/serving TestCrashesOfOneBackendCountPerIncarnation
 mutant connections_by_id platform/pool.go \
-	'endpoint{life: instance.Incarnation(), ' 'endpoint{life: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
+	'endpoint{incarnation: instance.Incarnation(), ' 'endpoint{incarnation: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -140,7 +140,7 @@
 mutant no_configuration_rise internal/route/table.go \
 	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
 mutant pass_false_promises platform/runner.go \
-	'case promises(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
+	'case promisesNotRun(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
 mutant no_answer_id platform/runner.go \
 	'if echoed != "" && echoed != a.id {' 'if false {' platform TestWhatMayBeRepeatedGoesElsewhere
 mutant no_caller_watch platform/ingress.go \
@@ -366,7 +366,7 @@
 mutant beginning_taken_for_whole internal/httphead/body.go \
 	'len(body) > limit' 'false' platform TestLongAnswerIsNotCut
 mutant chunks_for_old_callers platform/ingress.go \
-	'respond.isOld = !c.header.Header.IsHTTP11()' 'respond.isOld = false' platform TestOldCallersGetNoChunks
+	'respond.isHTTP10 = !c.header.Header.IsHTTP11()' 'respond.isHTTP10 = false' platform TestOldCallersGetNoChunks
 mutant cut_forward_looks_whole internal/gateway/stream.go \
 	'resetConnection(connection)' '' internal/gateway TestForwardedAnswerThatBreaksOffIsNotWhole
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -75,7 +75,7 @@
 replace platform/runner.go 'request.Whole(attempt.Body)' 'request.Whole([]byte(strings.Repeat("z", len(attempt.Body))))'
 soak other_body
 
-replace platform/runner.go 'if !isSetHere(field.Name) {' 'if !isSetHere(field.Name) && field.Name != headerPrompt && field.Name != "X-Topazpulley-Model" {'
+replace platform/runner.go 'if !isManagedField(field.Name) {' 'if !isManagedField(field.Name) && field.Name != headerPrompt && field.Name != "X-Topazpulley-Model" {'
 soak dropped_fields
 
 replace platform/runner.go 'request.Field(headerRequestID, attempt.ID)' 'request.Field(headerRequestID, attempt.ID+"-x")'
