--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -129,7 +129,7 @@
 	f.seen' internal/table TestAgeIsNeverTooShort
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
 	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsAreFreshInCalm
-mutant no_look_before_the_first_byte platform/runner.go \
+mutant no_look_before_the_first_byte platform/sender.go \
 	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
@@ -139,16 +139,16 @@
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
 	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
-mutant pass_false_promises platform/runner.go \
+mutant pass_false_promises platform/sender.go \
 	'case promisesNotRun(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
-mutant no_answer_id platform/runner.go \
+mutant no_answer_id platform/sender.go \
 	'if echoed != "" && echoed != a.id {' 'if false {' platform TestWhatMayBeRepeatedGoesElsewhere
 mutant no_caller_watch platform/ingress.go \
 	'	leave()
 }' '}' platform TestCallerThatLeavesStopsTheRun
 mutant no_framing_check platform/fields.go \
 	'if framings > 1 ||' 'if framings > 2 ||' platform TestBadRequests
-mutant no_instance_check platform/runner.go \
+mutant no_instance_check platform/sender.go \
 	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackendGetsNothingNew'
 mutant relay_counts_own_work internal/exchange/relay.go \
 	'return total.without(r.members[name].loads)' 'return total' internal/exchange TestRelaySendsLoadsOfOthers
@@ -179,7 +179,7 @@
 mutant no_place internal/serving/exchange.go \
 	'e.excluded[e.last.ID] = true
 			continue' 'continue' internal/serving TestRequestSentWhereReserved
-mutant place_not_sent platform/runner.go \
+mutant place_not_sent platform/sender.go \
 	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isOverloaded && known.batch > 0 {' 'if false {' internal/backend TestOverloadSignal
@@ -209,9 +209,9 @@
 	's.giveBack(ctx, id, claimed)' '' internal/job TestJobThatADaemonCannotReadGoesToAnother
 mutant excess_answered_at_every_look internal/job/yielding.go \
 	'answered.left = min(answered.left, excess)' 'answered.left = 0' internal/job TestOwnersGiveWayOnceForOneExcess
-mutant key_passed_on platform/runner.go \
+mutant key_passed_on platform/sender.go \
 	'headerTenant, headerKey:' 'headerTenant:' platform TestNoKeyLeavesWithAnAttempt
-mutant callers_tenant_believed platform/runner.go \
+mutant callers_tenant_believed platform/sender.go \
 	'headerReservation, headerTenant, headerKey:' 'headerReservation, headerKey:' platform TestNoKeyLeavesWithAnAttempt
 mutant key_stored platform/fields.go \
 	'name != headerKey && ' '' platform TestNoKeyIsStoredWithAJob
@@ -251,7 +251,7 @@
 	'if isPromise && !e.NotRun {' 'if isPromise && false {' internal/gateway TestOnlyPromisesHaveTheirStatus
 mutant unsent_taken_for_silent internal/serving/exchange.go \
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
-mutant stray_refusal_believed platform/runner.go \
+mutant stray_refusal_believed platform/sender.go \
 	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
 mutant pursued_end_promised internal/job/ending.go \
 	'return endUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledEndIsNeverPromisedNotDone
@@ -296,7 +296,7 @@
 	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
 mutant silent_store_connections_kept platform/store.go \
 	'			s.client.CloseIdleConnections()' '' platform TestSilentStoreConnectionsCostOneCall
-mutant silent_back_end_connections_kept platform/runner.go \
+mutant silent_back_end_connections_kept platform/sender.go \
 	'			s.pool.discardIdle(attempt.Instance)' '' platform TestSilentBackendConnectionsCostOneRequest
 mutant hangup_ends_a_start cmd/topazpulley/main.go \
 	'	_ "topazpulley/internal/command/ignorehangup" // before what starts slowly' '' cmd/topazpulley TestHangupDoesNotEndAStartingDaemon
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -69,16 +69,16 @@
 soak end_forgotten_with_its_caller
 
 # What reaches a back end is what a caller sent.
-replace platform/runner.go 'httphead.NewRequest(attempt.Method, attempt.Target,' 'httphead.NewRequest(attempt.Method, attempt.Target+"?x=1",'
+replace platform/sender.go 'httphead.NewRequest(attempt.Method, attempt.Target,' 'httphead.NewRequest(attempt.Method, attempt.Target+"?x=1",'
 soak other_target
 
-replace platform/runner.go 'request.Whole(attempt.Body)' 'request.Whole([]byte(strings.Repeat("z", len(attempt.Body))))'
+replace platform/sender.go 'request.Whole(attempt.Body)' 'request.Whole([]byte(strings.Repeat("z", len(attempt.Body))))'
 soak other_body
 
-replace platform/runner.go 'if !isManagedField(field.Name) {' 'if !isManagedField(field.Name) && field.Name != headerPrompt && field.Name != "X-Topazpulley-Model" {'
+replace platform/sender.go 'if !isManagedField(field.Name) {' 'if !isManagedField(field.Name) && field.Name != headerPrompt && field.Name != "X-Topazpulley-Model" {'
 soak dropped_fields
 
-replace platform/runner.go 'request.Field(headerRequestID, attempt.ID)' 'request.Field(headerRequestID, attempt.ID+"-x")'
+replace platform/sender.go 'request.Field(headerRequestID, attempt.ID)' 'request.Field(headerRequestID, attempt.ID+"-x")'
 soak other_id
 
 replace platform/answer.go 'return false // answered before the whole request was read' 'return true'
