--- a/internal/frontend/calm_test.go
+++ b/internal/frontend/claims_test.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// startLimit is the age of the claims from which on a daemon starts no items (the
-	// job service's claimsAgeLimit).
+	// startLimit is the age of the claims from which a daemon starts no items (the job
+	// service's claimsAgeLimit).
 	startLimit = 2 * time.Second
-	// storeTime is a round trip to a store near by.
+	// storeTime is the round trip time to the store.
 	storeTime = 2 * time.Millisecond
-	// calmTime is several turns of the longest watch.
-	calmTime = time.Minute
+	// idleTime is many times the longest watch.
+	idleTime = time.Minute
 )
 
-// virtualNow is a clock that runs with the test's time.
+// virtualNow is the clock of the synctest bubble.
 func virtualNow() boottime.Instant { return boottime.Instant(time.Now().UnixNano()) }
 
-// calmStore is a store in which nothing changes; its answers tell when they were
-// made, which for a watch without changes is the end of the wait.
-type calmStore struct{ table.Store }
+// idleStore is a store without changes. Its answers have the time at which they were made,
+// which for a watch without changes is the end of the wait.
+type idleStore struct{ table.Store }
 
-func (c calmStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+func (c idleStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
 	time.Sleep(storeTime / 2)
 	changes, err := c.Store.Watch(ctx, name, after, wait)
 	changes.AsOf = virtualNow()
@@ -39,7 +39,7 @@
 	return changes, err
 }
 
-// servingOthers is the view of a daemon that follows the store for others.
+// servingOthers is the table.Upstream of a daemon that is an upstream itself.
 type servingOthers struct{}
 
 func (servingOthers) Changes(context.Context, string, table.Section, table.Version, time.Duration) (table.RelayedChanges, bool, error) {
@@ -47,7 +47,7 @@
 }
 func (servingOthers) Serves() bool { return true }
 
-// following is the view of a daemon behind an upstream, without the network.
+// following is the table.Upstream of a daemon that follows an upstream, without the network.
 type following struct{ upstream *upstream }
 
 func (f following) Changes(ctx context.Context, name string, _ table.Section, after table.Version, wait time.Duration) (table.RelayedChanges, bool, error) {
@@ -59,17 +59,12 @@
 }
 func (following) Serves() bool { return false }
 
-// TestClaimsAreFreshInCalm.
-//
-// What was found in review: in a large fleet in which no job comes or ends, the
-// claims of a daemon behind an upstream were up to 2.25 s old although nothing was
-// wrong, because its call is held for 1.5 s on top of the upstream's own 0.75 s. For
-// up to 15 % of the time it started no items. The turns of both stay in step, so that
-// it is the same daemons all the time.
-func TestClaimsAreFreshInCalm(t *testing.T) { synctest.Test(t, claimsAreFreshInCalm) }
+// TestClaimsStayFreshWithoutChanges: the claims of a daemon that follows an upstream must not
+// reach the age at which it starts no items just because no job changes.
+func TestClaimsStayFreshWithoutChanges(t *testing.T) { synctest.Test(t, claimsStayFresh) }
 
-func claimsAreFreshInCalm(t *testing.T) {
-	store := calmStore{tabletest.NewMemory()}
+func claimsStayFresh(t *testing.T) {
+	store := idleStore{tabletest.NewMemory()}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -87,7 +82,7 @@
 	followers := []*table.Follower{}
 	for range 12 {
 		followers = append(followers, follow(discard{}, following{serverOf(offered)}))
-		time.Sleep(63 * time.Millisecond) // spread over a turn of the upstream
+		time.Sleep(63 * time.Millisecond) // spread over one watch of the upstream
 	}
 	time.Sleep(time.Second)
 	var (
@@ -97,7 +92,7 @@
 	)
 	for _, each := range followers {
 		watched.Go(func() {
-			for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(pollTime) {
+			for end := time.Now().Add(idleTime); time.Now().Before(end); time.Sleep(pollTime) {
 				age := each.Age()
 				mutex.Lock()
 				oldest = max(oldest, age)
--- a/internal/frontend/consumers.go
+++ b/internal/frontend/consumers.go
@@ -13,8 +13,8 @@
 	"topazpulley/internal/telemetry"
 )
 
-// configConsumer follows what the operator writes: it puts configurations in force and
-// has orders for zones obeyed.
+// configConsumer follows the table that the operator writes. It applies configurations and
+// zone evacuations.
 type configConsumer struct {
 	ports       Ports
 	holder      *route.Holder
@@ -34,7 +34,7 @@
 	c.applyNewest(rows)
 }
 
-// applyNewest puts a configuration among the rows in force.
+// applyNewest applies the configuration if it is among the rows.
 func (c *configConsumer) applyNewest(rows []table.Row) {
 	for _, row := range rows {
 		if row.Key == c.ports.ConfigKey && !row.Deleted {
@@ -55,34 +55,34 @@
 	c.log.Info("configuration_applied", "config", config.Version, "row_version", row.Version, "routes", len(config.Routes), "services", len(config.Services), "tenants", len(config.Tenants))
 }
 
-// instanceConsumer keeps the set of backends. mutex guards missing, the backends
-// whose entries lapsed while the store was away: they are used on until it
-// is settled that they are gone.
+// instanceConsumer keeps the set of backends up to date with the table of backends. A backend
+// whose entry disappears before the table is settled (see isSettled) stays in use until the
+// table is settled. mutex guards missing, the ids of these backends.
 type instanceConsumer struct {
 	ports    Ports
 	backends *backend.Set
 	metrics  *telemetry.Backends
 	log      *slog.Logger
-	// unreadable are the entries that name no backend to use.
+	// unreadable counts and logs the entries that can't be used.
 	unreadable *unreadableEntries
-	// isNamed tells whether the configuration in force names a service. A backend of
-	// another one waits, asked for by nobody, until one does.
+	// isNamed reports whether the current configuration names a service. Backends of other
+	// services are listed but get no requests.
 	isNamed func(service string) bool
-	// isSettled tells whether a missing entry means that its backend is gone.
+	// isSettled reports whether a missing entry means that its backend is gone.
 	isSettled func() bool
 
-	// isBulk tells that a change has too many entries for a line each. It belongs to the
-	// follower's goroutine.
+	// isBulk is set while a change with more than maxListingLines entries is applied. It is
+	// used by the follower's goroutine only.
 	isBulk bool
 
 	mutex   sync.Mutex
 	missing map[string]bool
-	// hasMissing is signalled when an entry is missing.
-	hasMissing chan struct{}
+	// missingSignal is signalled when an entry is missing.
+	missingSignal chan struct{}
 }
 
 func newInstanceConsumer(ports Ports, backends *backend.Set, metrics *telemetry.Backends, log *slog.Logger) *instanceConsumer {
-	return &instanceConsumer{ports: ports, backends: backends, metrics: metrics, log: log, unreadable: newUnreadableEntries(metrics, log), missing: map[string]bool{}, hasMissing: make(chan struct{}, 1), isSettled: func() bool { return true }, isNamed: func(string) bool { return true }}
+	return &instanceConsumer{ports: ports, backends: backends, metrics: metrics, log: log, unreadable: newUnreadableEntries(metrics, log), missing: map[string]bool{}, missingSignal: make(chan struct{}, 1), isSettled: func() bool { return true }, isNamed: func(string) bool { return true }}
 }
 
 // Replace implements table.Consumer.
@@ -97,7 +97,7 @@
 			gone = append(gone, known.ID)
 		}
 	}
-	c.isBulk = len(gone) > listingLines
+	c.isBulk = len(gone) > maxListingLines
 	for _, id := range gone {
 		c.remove(id, version)
 	}
@@ -107,7 +107,7 @@
 // Change implements table.Consumer.
 func (c *instanceConsumer) Change(rows []table.Row, version table.Version) {
 	before := c.backends.Count("")
-	c.isBulk = len(rows) > listingLines
+	c.isBulk = len(rows) > maxListingLines
 	for _, row := range rows {
 		if row.Deleted {
 			c.remove(row.Key, row.Version)
@@ -120,39 +120,38 @@
 	}
 }
 
-// listingLines is how many entries of one change have a line each. Of more, as at the start
-// of a large fleet, one line tells the numbers.
-const listingLines = 64
+// maxListingLines is how many entries of one change are logged with a line each. For a larger
+// change, as at the start of a large fleet, one line has the counts.
+const maxListingLines = 64
 
 func (c *instanceConsumer) put(row table.Row) {
 	instance, err := c.ports.DecodeInstance(row.Key, row.Value)
 	if err != nil {
-		c.refuse(row, err)
+		c.reject(row, err)
 		return
 	}
-	if err := checkBirth(instance, time.Now()); err != nil {
-		c.refuse(row, err)
+	if err := checkStartTime(instance, time.Now()); err != nil {
+		c.reject(row, err)
 		return
 	}
 	before, wasListed := c.backends.Get(row.Key)
 	listing := c.backends.Put(instance)
 	if listing != backend.ListingStale {
-		c.found(row.Key)
+		c.clearMissing(row.Key)
 	}
 	c.metrics.Listings.WithLabelValues(listing.String()).Inc()
 	if c.isBulk || (wasListed && before == instance) {
-		return // one line tells of all, or it was read again
+		return // logged as a summary, or unchanged
 	}
 	c.log.Info("backend_listed", "backend", instance.ID, "born", instance.StartMillis, "change", listing.String(), "service", instance.Service, "is_named", c.isNamed(instance.Service), "address", instance.Address, "zone", instance.Zone,
 		"slots", instance.Slots, "draining", instance.Draining, "cold_ms", instance.ColdFor.Milliseconds(), "row_version", row.Version)
 }
 
-// refuse takes in an entry that names no backend to use. One that was listed under
-// its id has gone, for all that is known: its entry is not its own any more. What runs
-// there goes on.
-func (c *instanceConsumer) refuse(row table.Row, cause error) {
-	c.unreadable.note(row, cause, time.Now())
-	c.found(row.Key)
+// reject handles an entry that can't be used. A backend that was listed under its key is
+// removed; its running requests continue.
+func (c *instanceConsumer) reject(row table.Row, cause error) {
+	c.unreadable.record(row, cause, time.Now())
+	c.clearMissing(row.Key)
 	if _, isListed := c.backends.Get(row.Key); !isListed {
 		return
 	}
@@ -160,21 +159,21 @@
 	c.log.Info("backend_removed", "backend", row.Key, "row_version", row.Version, "reason", "unreadable", "kind", kindOf(cause))
 }
 
-// found notes that a backend's entry is not missing.
-func (c *instanceConsumer) found(id string) {
+// clearMissing records that a backend's entry is not missing.
+func (c *instanceConsumer) clearMissing(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.missing, id)
 }
 
-// remove takes a backend out, or notes that its entry is missing.
+// remove removes a backend if the table is settled, and records its entry as missing if not.
 func (c *instanceConsumer) remove(id string, version table.Version) {
 	if !c.isSettled() {
 		c.mutex.Lock()
 		c.missing[id] = true
 		c.mutex.Unlock()
 		select {
-		case c.hasMissing <- struct{}{}:
+		case c.missingSignal <- struct{}{}:
 		default:
 		}
 		if !c.isBulk {
@@ -188,14 +187,14 @@
 	}
 }
 
-// settleAll settles missing entries until the context ends, and sleeps while
-// there are none.
+// settleAll removes backends with missing entries, once the table is settled, until the
+// context ends.
 func (c *instanceConsumer) settleAll(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.hasMissing:
+		case <-c.missingSignal:
 		}
 		for c.isAnyMissing() && periodic.Sleep(ctx, settleInterval) {
 			c.settle()
@@ -209,8 +208,7 @@
 	return len(c.missing) > 0
 }
 
-// settle takes the backends out whose entries are still missing once the table
-// is settled.
+// settle removes the backends whose entries are still missing if the table is settled.
 func (c *instanceConsumer) settle() {
 	if !c.isSettled() {
 		return
--- a/internal/frontend/evacuation.go
+++ b/internal/frontend/evacuation.go
@@ -9,16 +9,15 @@
 	"topazpulley/internal/telemetry"
 )
 
-// evacuations keeps which zones the operator has evacuated: for as long as an order
-// stands in the store, backends of its zone get nothing new. It is used by one
-// goroutine.
+// evacuations follows the operator's evacuation orders. While an order is in the store,
+// backends of its zone get no new requests. It is used by one goroutine.
 type evacuations struct {
-	// decode returns the zone that an order is about, and false for other rows.
+	// decode returns the zone of an order, and false for other rows.
 	decode   func(key string) (zone string, isOrder bool)
 	backends *backend.Set
 	metrics  *telemetry.Backends
 	log      *slog.Logger
-	// ordered are the zones whose orders stand, by the key of the order.
+	// ordered has the zones to evacuate, by the key of the order.
 	ordered map[string]string
 }
 
@@ -29,13 +28,13 @@
 	return &evacuations{decode: decode, backends: backends, metrics: metrics, log: log, ordered: map[string]string{}}
 }
 
-// replace takes over all rows of the table.
+// replace applies all rows of the table.
 func (e *evacuations) replace(rows []table.Row, version table.Version) {
 	e.ordered = map[string]string{}
 	e.change(rows, version)
 }
 
-// change takes over rows that changed.
+// change applies rows that changed.
 func (e *evacuations) change(rows []table.Row, version table.Version) {
 	for _, row := range rows {
 		zone, isOrder := e.decode(row.Key)
@@ -52,7 +51,7 @@
 	e.apply(version)
 }
 
-// apply has the orders that stand obeyed.
+// apply evacuates the zones of the current orders and reopens all others.
 func (e *evacuations) apply(version table.Version) {
 	zones := map[string]bool{}
 	for _, zone := range e.ordered {
--- a/internal/frontend/evacuation_test.go
+++ b/internal/frontend/evacuation_test.go
@@ -24,10 +24,9 @@
 	return open
 }
 
-// TestOrdersForZones: two zones after each other, an order twice, one that names no zone,
-// one for a zone that does not exist, and a read of the whole table from which an order has
-// gone that no change told of.
-func TestOrdersForZones(t *testing.T) {
+// TestEvacuationOrders: two zones in turn, a repeated order, one without a zone, one for an
+// unknown zone, and a read of the complete table from which an order has disappeared.
+func TestEvacuationOrders(t *testing.T) {
 	backends := backend.NewSet()
 	backends.Put(backend.Instance{ID: "a", Service: "s", Slots: 1, Zone: "one"})
 	backends.Put(backend.Instance{ID: "b", Service: "s", Slots: 1, Zone: "two"})
@@ -48,7 +47,7 @@
 	change("order/one", true)
 	require.Equal(t, map[string]bool{"one": true}, openZones(backends))
 	consumer.Replace([]table.Row{{Key: "order/one"}}, 2)
-	require.Equal(t, map[string]bool{"two": true}, openZones(backends), "the order for two is gone, that for one is back")
+	require.Equal(t, map[string]bool{"two": true}, openZones(backends), "the order for zone two is gone, that for zone one is back")
 	consumer.Replace(nil, 3)
 	require.Len(t, openZones(backends), 2)
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,7 @@
-// Package frontend assembles a daemon whose configuration, discovery and jobs
-// live in a watched table: the online core, the job service, the membership of
-// the fleet and the followers of the tables. What speaks to callers, backends
-// and the store comes from outside, through Ports.
+// Package frontend assembles a daemon from its parts: the online core, the job service, the
+// cluster membership and the followers of the tables that hold configuration, backends and
+// jobs. The adapters for the store and the backends are passed in as Ports; the caller of New
+// serves the HTTP interface.
 package frontend
 
 import (
@@ -33,16 +33,15 @@
 	"topazpulley/internal/warmup"
 )
 
-// Ports are the translators to the outside and the names under which the store
-// holds what others write.
+// Ports are the adapters to the store and the backends, and the names of the tables and keys
+// that other programs write.
 type Ports struct {
 	Store          table.Store
 	Sender         serving.Sender
 	DecodeConfig   func(value []byte) (route.Config, error)
 	DecodeInstance func(key string, value []byte) (backend.Instance, error)
-	// DecodeEvacuation returns the zone that a row of ConfigTable wants to be evacuated,
-	// empty if it names none, and false if the row is no such order. Nil means that there
-	// are no such orders.
+	// DecodeEvacuation returns the zone of an evacuation order in ConfigTable, empty if the
+	// order names none, and false if the row is no order. Nil means that there are no orders.
 	DecodeEvacuation func(key string) (zone string, isOrder bool)
 	ConfigTable      string
 	ConfigKey        string
@@ -50,29 +49,25 @@
 }
 
 const (
-	// watchWait is how long one watch call is held. A watch whose answer is
-	// lost is noticed shortly after.
+	// watchWait is how long one watch call waits for changes.
 	watchWait = 1500 * time.Millisecond
-	// claimWatches is how often a second claims of jobs are asked for, and
-	// claimBurst how often at once: in a large fleet jobs come and go many times
-	// a second, and every change would cost a call of every daemon.
+	// claimWatches limits the watch calls per second for the claims of jobs, and claimBurst
+	// their burst. In a large fleet claims change many times a second, and each change ends
+	// the watch of every daemon.
 	claimWatches = 2
 	claimBurst   = 4
-	// claimRelayWait is how long an upstream holds a call for claims. Items are started
-	// only while the claims are known to be fresh; with calls held for watchWait, owners
-	// of a fleet that is not harmed found them too old ten times a minute.
+	// claimRelayWait is how long an upstream waits for changes to the claims. It is shorter
+	// than watchWait because items are started only while the claims are fresh.
 	claimRelayWait = 750 * time.Millisecond
-	// instanceWatches and instanceBurst bound the same for backends, which are
-	// listed one after the other when many start.
+	// instanceWatches and instanceBurst limit the watch calls for backends in the same way.
 	instanceWatches = 4
 	instanceBurst   = 4
-	// settleInterval is the pause between two looks at entries that are missing.
+	// settleInterval is the time between two checks of missing entries.
 	settleInterval = 100 * time.Millisecond
-	// rejoinPause is the time between two looks for other daemons while none is
-	// known.
+	// rejoinPause is the time between two searches for other daemons while none is known.
 	rejoinPause = 500 * time.Millisecond
-	// settlingTime is how long the daemons of a fleet that starts at once need
-	// to find each other.
+	// settlingTime is how long the daemons of a fleet that starts at once need to find each
+	// other.
 	settlingTime = 3 * time.Second
 )
 
@@ -83,50 +78,52 @@
 	transport *peer.Transport
 	node      *cluster.Node
 	store     table.Store
-	// direct is the store as this daemon itself reaches it.
+	// direct is the store without forwarding through other daemons.
 	direct table.Store
-	// forwarding is what store calls; it runs while the daemon does.
+	// forwarding is the layer below store that calls the store through other daemons while
+	// it can't be reached directly.
 	forwarding *table.Forwarding
 	followers  []*table.Follower
 	instances  *instanceConsumer
-	// limitFleet is the fleet among which limits of tenants are kept.
+	// limitFleet is the set of daemons that share the rate limits of tenants.
 	limitFleet *ratelimit.ClusterFleet
 
-	// Holder has the configuration in force.
+	// Holder has the current configuration.
 	Holder *route.Holder
-	// Backends is what is known of the backends.
+	// Backends is the set of known backends.
 	Backends *backend.Set
 	// Core answers online requests.
 	Core *serving.Core
-	// Jobs answers calls about jobs and runs them.
+	// Jobs serves the batch job calls and runs jobs.
 	Jobs *job.Service
 	// Gate identifies callers.
 	Gate *access.Gate
-	// Quarantine tells which requests are not sent to backends.
+	// Quarantine decides which requests are not sent to backends.
 	Quarantine *quarantine.Guard
-	// ClaimsAge returns for how long the claims of jobs, as this daemon knows them, may
-	// not have been the present state.
+	// ClaimsAge returns the time since this daemon's copy of the job claims was last
+	// confirmed to be current.
 	ClaimsAge func() time.Duration
 
 	recorder *quarantine.Recorder
-	// section is the part of the backends that is known, and its width on the ring.
+	// section returns the section of the backends that this daemon follows, and its width on
+	// the ring.
 	section func() (section table.Section, width float64, isKnown bool)
-	// followed tells whether this daemon is an upstream.
-	followed *upstream
+	// upstream chooses the daemon to follow tables from, and serves others.
+	upstream *upstream
 }
 
-// Metrics are those of the parts of a daemon.
+// Metrics are the metrics of a daemon's parts.
 type Metrics struct {
 	Serving *telemetry.Serving
 	Quota   *telemetry.Quota
 	Tenants *telemetry.Tenants
-	// Backends is that of what backends say of themselves.
+	// Backends has the metrics of backend listings.
 	Backends *telemetry.Backends
-	// Quarantine is that of requests that end backends.
+	// Quarantine has the metrics of requests that crash backends.
 	Quarantine *telemetry.Quarantine
 }
 
-// isServiceNamed reports whether the configuration in force names a service.
+// isServiceNamed reports whether the current configuration names a service.
 func (f *Frontend) isServiceNamed(service string) bool {
 	current := f.Holder.Current()
 	if current == nil {
@@ -148,12 +145,12 @@
 	store := table.NewMonotonic(availability)
 	f.store = store
 	shareVersions(f.node, store)
-	f.Backends.SetColdLimits(f.coldRate, coldPacer(f.node, time.Now().Add(settlingTime)))
+	f.Backends.SetColdLimits(f.coldRate, newColdShare(f.node, time.Now().Add(settlingTime)))
 	accounts := quota.NewAccounts(f.store, quotaPeers{node: f.node, transport: f.transport}, metrics.Quota, log)
 	peer.Handle(f.transport, methodQuota, func(ctx context.Context, _ string, request quota.Request) (quota.Answer, error) {
 		return accounts.Serve(ctx, request)
 	})
-	listenForPressure(f.node, accounts)
+	subscribeNearLimit(f.node, accounts)
 	f.addQuarantine(metrics.Quarantine)
 	sender := serving.NewGuardedSender(ports.Sender, f.Quarantine, f.Backends, log)
 	f.Core = serving.NewCore(f.Backends, sender, f.Holder, metrics.Serving, log, f.sharingDaemons)
@@ -169,19 +166,19 @@
 		f.Backends.SetConnected(connector.Connected)
 	}
 	claims := newClaimFollower()
-	claims.Deferred = f.defersClaims(time.Now())
+	claims.Deferred = f.claimsDelay(time.Now())
 	f.ClaimsAge = claims.Age
 	f.Jobs = job.NewService(job.Dependencies{
-		Availability: holdingBy(process, availability), SubmissionLimits: submissionbuffer.LimitsOf(process.MemoryMegabytes, process.HeldSubmissionsShare),
+		Availability: bufferAvailability(process, availability), SubmissionLimits: submissionbuffer.LimitsOf(process.MemoryMegabytes, process.HeldSubmissionsShare),
 		Self: job.Self{Name: self.Name, Incarnation: self.Incarnation}, Store: f.store, Backends: f.Backends, Sender: sender,
 		Holder: f.Holder, Peers: peers{node: f.node, transport: f.transport, log: log}, Metrics: metrics.Serving, Logger: log, Connections: f.Core.ConnectionShare, SettlingTime: settlingTime,
 		Quota: accounts, Zone: process.Zone, BatchCapacity: process.BatchCapacity, Quarantine: f.Quarantine, ClaimsAge: claims.Age,
 	})
 	claims.Consumer = f.Jobs
-	listenForEnds(f.transport, f.Jobs)
+	handleJobNotices(f.transport, f.Jobs)
 	source := newPeerSource(f.node, f.transport)
 	followed := newUpstream(f.node, f.transport)
-	f.followed = followed
+	f.upstream = followed
 	f.instances = newInstanceConsumer(ports, f.Backends, metrics.Backends, log)
 	f.instances.isNamed = f.isServiceNamed
 	for _, follower := range []*table.Follower{
@@ -209,7 +206,8 @@
 	return f
 }
 
-// coldRate is how many requests a second a cold backend of a service bears, 0 for any.
+// coldRate returns the configured requests per second for a cold backend of a service; 0
+// means no limit.
 func (f *Frontend) coldRate(service string) float64 {
 	current := f.Holder.Current()
 	if current == nil {
@@ -222,28 +220,29 @@
 	return configured.ColdRate
 }
 
-// coldPacer returns this daemon's part of what cold backends bear. A daemon that has just
-// started may know a few of the others only, and would take their parts too; it sends
-// cold backends nothing until it is settled.
-func coldPacer(node *cluster.Node, settledAt time.Time) backend.ColdShare {
-	return func(life backend.Incarnation, perSecond float64, turn warmup.Window) int {
+// newColdShare returns the function that computes this daemon's allowance for a cold backend.
+// The allowance is 0 until settledAt: a daemon that has just started may not know all others
+// and would use their shares too.
+func newColdShare(node *cluster.Node, settledAt time.Time) backend.ColdShare {
+	return func(incarnation backend.Incarnation, perSecond float64, window warmup.Window) int {
 		if time.Now().Before(settledAt) {
 			return 0
 		}
-		return warmup.Allowance(node.Self().Name, node.AllNames(), life.String(), perSecond, turn)
+		return warmup.Allowance(node.Self().Name, node.AllNames(), incarnation.String(), perSecond, window)
 	}
 }
 
-// holdingBy returns by what submissions are held while the store is away; nil if none are.
-func holdingBy(process settings.Settings, availability *table.Availability) job.Availability {
+// bufferAvailability returns the store availability that controls the buffering of submissions,
+// or nil if submissions are not buffered.
+func bufferAvailability(process settings.Settings, availability *table.Availability) job.Availability {
 	if process.HeldSubmissionsShare <= 0 {
 		return nil
 	}
 	return availability
 }
 
-// forwardingStore returns the store, called through other daemons while it does
-// not serve this one.
+// forwardingStore returns the store with a fallback: while it can't be reached directly, calls
+// go through other daemons.
 func (f *Frontend) forwardingStore(ports Ports) *table.Forwarding {
 	throughPeers := newPeerStore(f.node, f.transport, ports.Store)
 	forwarding := table.NewForwarding(ports.Store, throughPeers, ports.ConfigTable, f.log)
@@ -252,9 +251,9 @@
 	return forwarding
 }
 
-// shareVersions lets daemons tell each other the newest version of the store
-// that any of them saw, with every datagram, so that a read which lies behind
-// is noticed also by those that have seen nothing newer themselves.
+// shareVersions adds the newest store version that this daemon has seen to its datagrams, and
+// applies those received. A daemon thus detects a stale read even if it has not seen a newer
+// version itself.
 func shareVersions(node *cluster.Node, store *table.Monotonic) {
 	store.Tell = func(version table.Version) { node.SetRevision(int64(version)) }
 	node.Subscribe(func(event membership.Event) {
@@ -264,8 +263,8 @@
 	})
 }
 
-// member describes this daemon to others. The start time makes its incarnation
-// higher than in any earlier life of the same name.
+// member describes this daemon to others. Its incarnation is the start time in milliseconds, so
+// that it is higher than that of any earlier process of the same name.
 func (f *Frontend) member() membership.Member {
 	return membership.Member{
 		Name: f.settings.Name, Address: f.settings.AdvertiseAddress, Zone: f.settings.Zone, Region: f.settings.Region,
@@ -273,25 +272,25 @@
 	}
 }
 
-// newClaimFollower returns a follower of the claims of jobs; its consumer and sources
-// are set by its user.
+// newClaimFollower returns a follower of the claims of jobs; the caller sets its consumer and
+// sources.
 func newClaimFollower() *table.Follower {
 	return &table.Follower{
 		Table: job.ClaimTable, Partitioned: true, Wait: watchWait, RelayWait: claimRelayWait, Pace: rate.NewLimiter(claimWatches, claimBurst),
 	}
 }
 
-// Members returns how many daemons are alive as this one sees them.
+// Members returns the number of live daemons known to this one.
 func (f *Frontend) Members() int { return f.node.Count() }
 
-// sectionWidth returns the part of the ring of backends that this daemon knows, and
-// whether it is not the whole.
+// sectionWidth returns the fraction of the backend ring that this daemon follows, and whether
+// it is less than the complete ring.
 func (f *Frontend) sectionWidth() (width float64, isPart bool) {
 	section, width, _ := f.section()
 	return width, section.IsPart
 }
 
-// sharingDaemons returns how many daemons send to the same backends as this one, at most.
+// sharingDaemons returns the maximum number of daemons that send to the same backend.
 func (f *Frontend) sharingDaemons() int {
 	width, isPart := f.sectionWidth()
 	if !isPart {
@@ -300,22 +299,24 @@
 	return topology.MaxDaemonsPerBackend(width, f.Members())
 }
 
-// claimsDeferral is how long a daemon of a large fleet that starts waits for an upstream
-// before it reads the claims of all jobs itself, a call a partition. It looks for one each
-// claimsPoll, and until it knows how large the fleet is each sizePoll: a small fleet has none.
+// maxClaimsDelay is how long a starting daemon of a large fleet waits for an upstream before it
+// reads the claims of all jobs from the store, with one call per partition. It checks every
+// claimsPoll, and every sizePoll until the size of the fleet is known. Small fleets have no
+// upstreams.
 const (
-	claimsDeferral = 4 * time.Second
+	maxClaimsDelay = 4 * time.Second
 	claimsPoll     = 100 * time.Millisecond
 	sizePoll       = 5 * time.Millisecond
 )
 
-// defersClaims returns for how long the first read of the claims waits for an upstream. How
-// large the fleet is shows in the table of backends.
-func (f *Frontend) defersClaims(started time.Time) func() time.Duration {
+// claimsDelay returns a function for the remaining delay until the next check whether the first
+// read of the claims may start; 0 means now. A fleet is large if only a section of the backends
+// is followed.
+func (f *Frontend) claimsDelay(started time.Time) func() time.Duration {
 	return func() time.Duration {
 		section, _, isKnown := f.section()
 		switch {
-		case time.Since(started) >= claimsDeferral || f.followed.Serves():
+		case time.Since(started) >= maxClaimsDelay || f.upstream.Serves():
 			return 0
 		case !isKnown:
 			return sizePoll
@@ -326,7 +327,7 @@
 	}
 }
 
-// Start starts all duties; they end with the context.
+// Start starts all background work, which ends with the context.
 func (f *Frontend) Start(ctx context.Context) error {
 	if err := f.transport.Start(); err != nil {
 		return err
@@ -338,7 +339,7 @@
 	go loads.Run(ctx)
 	go f.Jobs.Run(ctx)
 	go f.Core.Wakeups.Run(ctx)
-	go f.keepFound(ctx)
+	go f.findMembers(ctx)
 	go f.register(ctx)
 	go f.forwarding.Run(ctx)
 	go f.instances.settleAll(ctx)
@@ -351,27 +352,26 @@
 	return nil
 }
 
-// Ready reports whether the daemon knows a configuration and so may get
-// requests.
+// Ready reports whether the daemon has a configuration and can serve requests.
 func (f *Frontend) Ready() bool { return f.Holder.Current() != nil }
 
-// Leave hands jobs over and tells the other daemons that this one goes.
+// Leave hands over jobs and notifies the other daemons that this one leaves.
 func (f *Frontend) Leave(ctx context.Context) {
 	f.Jobs.Stop(ctx)
 	f.node.Leave()
 }
 
-// AwaitCancellations waits until the ends of jobs that callers asked for here have ended, or
+// AwaitCancellations waits until the job cancellations requested at this daemon are complete, or
 // the context ends.
 func (f *Frontend) AwaitCancellations(ctx context.Context) { f.Jobs.AwaitCancellations(ctx) }
 
-// Close ends the peer protocol.
+// Close stops the peer transport.
 func (f *Frontend) Close() { f.transport.Stop() }
 
-// Reload takes over what may change while the daemon runs.
+// Reload applies the settings that may change while the daemon runs.
 func (f *Frontend) Reload(changed settings.Settings) { f.node.SetSeeds(changed.Seeds) }
 
-// hasTenants reports whether the configuration in force has tenants, who may have limits.
+// hasTenants reports whether the current configuration has tenants.
 func (f *Frontend) hasTenants() bool {
 	current := f.Holder.Current()
 	return current != nil && current.Tenants().Count() > 0
--- a/internal/frontend/instances_test.go
+++ b/internal/frontend/instances_test.go
@@ -21,10 +21,10 @@
 	return table.Row{Key: id, Version: version, Value: []byte(id)}
 }
 
-// oddValue is the value of an entry that names no backend.
-const oddValue = "odd"
+// invalidValue is the value of an entry that can't be decoded.
+const invalidValue = "odd"
 
-// unreadableName is the counter of such entries.
+// unreadableName is the metric that counts such entries.
 const unreadableName = "topazpulley_backend_unreadable_total"
 
 func newTestConsumer(settled *bool) *instanceConsumer {
@@ -34,8 +34,8 @@
 // newMeteredConsumer returns a consumer whose metrics are on a registry.
 func newMeteredConsumer(settled *bool, registry *prometheus.Registry) *instanceConsumer {
 	ports := Ports{DecodeInstance: func(key string, value []byte) (backend.Instance, error) {
-		if string(value) == oddValue {
-			return backend.Instance{}, failure.New(failure.KindInvalid, "odd", "it names no back end")
+		if string(value) == invalidValue {
+			return backend.Instance{}, failure.New(failure.KindInvalid, "odd", "the entry names no backend")
 		}
 		return backend.Instance{ID: key, Service: "s", Slots: 1}, nil
 	}}
@@ -53,9 +53,9 @@
 	require.ElementsMatch(t, expected, ids)
 }
 
-// TestEntriesThatLapsedWhileTheStoreWasAway: their backends are used on; those
-// that come back stay, those still missing after the return time are gone.
-func TestEntriesThatLapsedWhileTheStoreWasAway(t *testing.T) {
+// TestMissingEntriesWhileUnsettled: backends whose entries disappear during a store outage stay
+// in use until the table is settled; those still missing then are removed.
+func TestMissingEntriesWhileUnsettled(t *testing.T) {
 	isSettled := true
 	consumer := newTestConsumer(&isSettled)
 	consumer.Replace([]table.Row{row("a", 1), row("b", 2), row("c", 3)}, 3)
@@ -69,8 +69,9 @@
 	requireListed(t, consumer, "a", "b")
 }
 
-// TestBackendThatLeavesIsOutAtOnce while the store was there all the time.
-func TestBackendThatLeavesIsOutAtOnce(t *testing.T) {
+// TestDeletedEntryRemovesBackend: a backend whose entry is deleted while the table is settled is
+// removed at once.
+func TestDeletedEntryRemovesBackend(t *testing.T) {
 	isSettled := true
 	consumer := newTestConsumer(&isSettled)
 	consumer.Replace([]table.Row{row("a", 1), row("b", 2)}, 2)
@@ -80,46 +81,47 @@
 	requireListed(t, consumer)
 }
 
-// TestEntryThatTurnsOddTakesItsBackendOut at once, whether or not the store was away,
-// and the others hold; a good one lists it again.
-func TestEntryThatTurnsOddTakesItsBackendOut(t *testing.T) {
+// TestInvalidEntryRemovesBackend: an entry that becomes invalid removes its backend at once, also
+// while the table is not settled. Others stay, and a valid entry lists the backend again.
+func TestInvalidEntryRemovesBackend(t *testing.T) {
 	isSettled := true
 	registry := prometheus.NewRegistry()
 	consumer := newMeteredConsumer(&isSettled, registry)
-	consumer.Replace([]table.Row{row("a", 1), row("b", 2), {Key: "c", Version: 3, Value: []byte(oddValue)}}, 3)
+	consumer.Replace([]table.Row{row("a", 1), row("b", 2), {Key: "c", Version: 3, Value: []byte(invalidValue)}}, 3)
 	requireListed(t, consumer, "a", "b")
 	lease, found := consumer.backends.Acquire("a", backend.Online, nil)
 	require.True(t, found)
 	isSettled = false
-	consumer.Change([]table.Row{{Key: "a", Version: 4, Value: []byte(oddValue)}}, 4)
+	consumer.Change([]table.Row{{Key: "a", Version: 4, Value: []byte(invalidValue)}}, 4)
 	requireListed(t, consumer, "b")
 	lease.Release()
-	consumer.Replace([]table.Row{{Key: "a", Version: 4, Value: []byte(oddValue)}, row("b", 2)}, 5)
+	consumer.Replace([]table.Row{{Key: "a", Version: 4, Value: []byte(invalidValue)}, row("b", 2)}, 5)
 	requireListed(t, consumer, "b")
 	consumer.Change([]table.Row{row("a", 6)}, 6)
 	requireListed(t, consumer, "a", "b")
 	require.EqualValues(t, 3, counted(t, registry, unreadableName, "odd"))
 }
 
-// TestOddEntriesAreLoggedSeldomAndAllCounted: one line a kind now and then.
-func TestOddEntriesAreLoggedSeldomAndAllCounted(t *testing.T) {
+// TestInvalidEntriesLogRate: invalid entries are all counted, and logged at a limited rate per
+// kind.
+func TestInvalidEntriesLogRate(t *testing.T) {
 	var written bytes.Buffer
 	registry := prometheus.NewRegistry()
 	metrics := telemetry.NewBackends(registry)
 	entries := newUnreadableEntries(metrics, slog.New(slog.NewTextHandler(&written, nil)))
-	cause, now := failure.New(failure.KindInvalid, "odd", "it names no back end"), time.Now()
+	cause, now := failure.New(failure.KindInvalid, "odd", "the entry names no backend"), time.Now()
 	for range 100 {
-		entries.note(row("a", 1), cause, now)
+		entries.record(row("a", 1), cause, now)
 	}
-	entries.note(row("a", 1), errors.New("another"), now)
-	entries.note(row("a", 1), cause, now.Add(unreadablePause))
+	entries.record(row("a", 1), errors.New("another"), now)
+	entries.record(row("a", 1), cause, now.Add(unreadablePause))
 	require.Equal(t, 3, strings.Count(written.String(), "backend_unreadable"))
 	require.Contains(t, written.String(), "unlogged=99")
 	require.EqualValues(t, 101, counted(t, registry, unreadableName, "odd"))
 	require.EqualValues(t, 1, counted(t, registry, unreadableName, unknownKind))
 }
 
-// counted returns what the counter of a name shows for a label's value.
+// counted returns the value of a counter for a value of its label.
 func counted(t *testing.T, registry *prometheus.Registry, name, value string) float64 {
 	t.Helper()
 	families, err := registry.Gather()
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -19,7 +19,7 @@
 	"topazpulley/internal/topology"
 )
 
-// peers tells the job service which daemons are alive, and them of ends.
+// peers implements job.Peers with the cluster membership and the peer transport.
 type peers struct {
 	node      *cluster.Node
 	transport *peer.Transport
@@ -40,8 +40,8 @@
 	return job.LivenessAlive
 }
 
-// refuteMargin is how far a daemon's incarnation may rise within one life: by
-// one with each refuted suspicion. Lives start further apart, in milliseconds.
+// refuteMargin is how far the incarnation of one daemon process may rise: each refuted
+// suspicion adds one. The start times of two processes differ by more milliseconds.
 const refuteMargin = 200
 
 // Rank implements job.Peers.
@@ -60,29 +60,26 @@
 	return ""
 }
 
-// tableMembers is where daemons leave their addresses for others to find.
+// tableMembers is the table of daemon addresses, by daemon name.
 const tableMembers = "member"
 
 const (
 	memberTimeout = time.Second
-	// memberRows is how many addresses a daemon that is alone reads at a time: its own
-	// name's followers in the order of names, so that daemons which start at once do not
-	// all turn to the same few.
+	// memberRows is the number of addresses per read. Reads start after the daemon's own
+	// name, so that daemons that start at once do not all contact the same few.
 	memberRows = 100
-	// registerSpread is the time for each member over which writes of addresses that the
-	// store has turned away are made again: it takes some 200 a second, and in a fleet
-	// that is large nobody needs them soon.
+	// registerSpread is multiplied by the number of members to get the time over which a
+	// large fleet spreads the retries of address writes that the store refused.
 	registerSpread = 10 * time.Millisecond
-	// longestRegisterPause bounds the mean pause between two tries to write the own
-	// address, which doubles: the store takes the writes of a fleet one after the other.
-	longestRegisterPause = 4 * time.Second
+	// maxRegisterPause bounds the mean pause between two attempts to write the address. The
+	// pause doubles with each attempt.
+	maxRegisterPause = 4 * time.Second
 )
 
-// keepFound looks in the store for other daemons while this one may be alone.
-func (f *Frontend) keepFound(ctx context.Context) {
+// findMembers reads the addresses of other daemons from the store while no other is known.
+func (f *Frontend) findMembers(ctx context.Context) {
 	for f.Members() <= 1 {
-		// Reading comes first: the writes of a fleet that starts at once wait
-		// for each other.
+		// Read before the pause: the address writes of a fleet that starts at once are slow.
 		f.readAddresses(ctx)
 		if !periodic.Sleep(ctx, rejoinPause) {
 			return
@@ -94,19 +91,19 @@
 func (f *Frontend) register(ctx context.Context) {
 	pause := rejoinPause
 	for !f.writeAddress(ctx) && periodic.SleepAbout(ctx, pause) {
-		pause = min(2*pause, longestRegisterPause)
+		pause = min(2*pause, maxRegisterPause)
 		if found := f.Members(); found > topology.FullMeshLimit {
 			periodic.Sleep(ctx, rand.N(time.Duration(found)*registerSpread))
 		}
 	}
 }
 
-// writeAddress tries once to leave this daemon's address in the store.
+// writeAddress tries once to write this daemon's address to the store.
 func (f *Frontend) writeAddress(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
-	// Not through other daemons: the store takes such writes one after the other and
-	// throttles those of a whole fleet, by whomever they are made.
+	// Not forwarded through other daemons: the store serializes these writes and throttles
+	// them whichever daemon makes the call.
 	_, err := f.direct.Commit(bounded, table.Transaction{
 		Writes: []table.Write{{Table: tableMembers, Key: f.settings.Name, Value: []byte(f.settings.AdvertiseAddress)}},
 	})
@@ -117,8 +114,8 @@
 	return err == nil
 }
 
-// readAddresses adds addresses that other daemons left to the seeds. Those of a large
-// fleet are read as a whole only where limits of tenants are kept among all of them.
+// readAddresses adds the addresses of other daemons to the seeds. All addresses of a large
+// fleet are read only if there are tenants, whose limits are shared by all daemons.
 func (f *Frontend) readAddresses(ctx context.Context) {
 	rows, isWhole, err := f.addresses(ctx)
 	if err != nil {
@@ -139,8 +136,8 @@
 	}
 }
 
-// addresses reads those behind the own name, then those before it, and reports whether
-// that was all.
+// addresses reads the addresses after the daemon's own name, then those before it, and reports
+// whether it read all of them.
 func (f *Frontend) addresses(ctx context.Context) (rows []table.Row, isWhole bool, err error) {
 	for _, part := range []table.Range{{From: f.settings.Name}, {Before: f.settings.Name}} {
 		for more := true; more; {
--- a/internal/frontend/peerstore.go
+++ b/internal/frontend/peerstore.go
@@ -13,19 +13,18 @@
 	"topazpulley/internal/table"
 )
 
-// methodStore is the method of the peer protocol by which a daemon that the
-// store does not serve has another make a call.
+// methodStore is the peer method that makes a store call for a daemon that can't reach the
+// store.
 const methodStore = "store.call"
 
-// storeHelpers is how many daemons are asked to make a call, in turn.
+// storeHelpers is the maximum number of daemons that are asked, in turn, to make one call.
 const storeHelpers = 2
 
-// peerStore makes calls to the store through other daemons, and for them.
+// peerStore makes store calls through other daemons, and serves their calls.
 type peerStore struct {
 	node      *cluster.Node
 	transport *peer.Transport
-	// direct is the store as this daemon reaches it, and isServed tells whether
-	// it does.
+	// direct is the store without forwarding, and isServed reports whether it can be reached.
 	direct   table.Store
 	isServed func() bool
 }
@@ -38,8 +37,8 @@
 	return made
 }
 
-// serve makes a call for another daemon, unless the store does not serve this
-// one either.
+// serve makes a call for another daemon. It answers ErrorNotDone if this daemon can't reach the
+// store either.
 func (p *peerStore) serve(ctx context.Context, _ string, request storeRequest) (storeAnswer, error) {
 	if !p.isServed() {
 		return emptyAnswer(&table.Error{Kind: table.ErrorNotDone, Call: request.Operation}), nil
@@ -77,8 +76,8 @@
 	return emptyAnswer(&table.Error{Kind: table.ErrorInvalid, Call: request.Operation})
 }
 
-// call has another daemon make a call. A daemon that the store does not serve
-// either is passed by; after one that did not answer, nothing is known.
+// call makes a call through another daemon. If that daemon answers ErrorNotDone, the next one
+// is tried. If it does not answer, the outcome is unknown and the error is ErrorUnknown.
 func (p *peerStore) call(ctx context.Context, operation storeOperation, request storeRequest) (storeAnswer, error) {
 	notDone := &table.Error{Kind: table.ErrorNotDone, Call: string(operation)}
 	request.Operation = string(operation)
@@ -105,7 +104,7 @@
 	return storeAnswer{}, notDone
 }
 
-// helpers are some live daemons, those of the own zone first.
+// helpers returns up to storeHelpers live daemons in random order, those of the same zone first.
 func (p *peerStore) helpers() []membership.Member {
 	self := p.node.Self()
 	near, far := []membership.Member{}, []membership.Member{}
@@ -156,7 +155,7 @@
 	return answer.Partitions, answer.More, err
 }
 
-// Watch implements table.Store: watches are not made for others.
+// Watch implements table.Store. Watches are not forwarded.
 func (p *peerStore) Watch(context.Context, string, table.Version, time.Duration) (table.Changes, error) {
 	return table.Changes{}, &table.Error{Kind: table.ErrorNotDone, Call: "watch"}
 }
--- a/internal/frontend/peerstore_test.go
+++ b/internal/frontend/peerstore_test.go
@@ -10,7 +10,7 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// throughWire makes a call as a helper does, with both messages encoded.
+// throughWire makes a call with both messages encoded and decoded.
 func throughWire(t *testing.T, helper *peerStore, request storeRequest) storeAnswer {
 	t.Helper()
 	if request.Content == nil {
@@ -29,7 +29,8 @@
 	return returned
 }
 
-// TestHelperMakesEveryCall and returns what the store said.
+// TestHelperMakesEveryCall: a helper makes each kind of store call, returns its result, and
+// refuses if it can't reach the store.
 func TestHelperMakesEveryCall(t *testing.T) {
 	isServed := true
 	helper := &peerStore{direct: tabletest.NewMemory(), isServed: func() bool { return isServed }}
--- a/internal/frontend/quota.go
+++ b/internal/frontend/quota.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// methodQuota is the method of the peer protocol by which a daemon asks an
-	// account's keeper to commit.
+	// methodQuota is the peer method that asks an account's coordinator to commit.
 	methodQuota = "quota.apply"
-	// keyPressed begins the key of a hint that an account is near its limit.
-	keyPressed = "quota-pressed/"
+	// keyNearLimit is the key prefix of a hint that an account is near its limit.
+	keyNearLimit = "quota-pressed/"
 )
 
-// quotaPeers reaches the keepers of accounts.
+// quotaPeers finds and calls the coordinators of accounts.
 type quotaPeers struct {
 	node      *cluster.Node
 	transport *peer.Transport
@@ -28,8 +27,8 @@
 
 var _ quota.Peers = quotaPeers{}
 
-// Coordinator implements quota.Peers: the keeper is chosen by rendezvous hashing
-// among the daemons that are not suspected.
+// Coordinator implements quota.Peers. The coordinator is chosen by rendezvous hashing among the
+// live daemons that are not suspected.
 func (p quotaPeers) Coordinator(account string) (string, bool) {
 	addresses := map[string]string{}
 	names := []string{}
@@ -39,8 +38,8 @@
 			addresses[member.Name] = member.Address
 		}
 	}
-	keeper := duty.Owner(account, names)
-	return addresses[keeper], keeper == "" || keeper == p.node.Self().Name
+	coordinator := duty.Owner(account, names)
+	return addresses[coordinator], coordinator == "" || coordinator == p.node.Self().Name
 }
 
 // Apply implements quota.Peers.
@@ -51,7 +50,7 @@
 // Announce implements quota.Peers.
 func (p quotaPeers) Announce(account string) {
 	self := p.node.Self().Name
-	item := membership.Item{Key: keyPressed + account, Version: time.Now().UnixNano(), Priority: membership.PriorityLoad, Payload: []byte{}}
+	item := membership.Item{Key: keyNearLimit + account, Version: time.Now().UnixNano(), Priority: membership.PriorityLoad, Payload: []byte{}}
 	for _, member := range p.node.Members() {
 		if member.Name != self {
 			p.node.Hint(member.Name, item)
@@ -59,13 +58,13 @@
 	}
 }
 
-// listenForPressure hands other daemons' announcements on.
-func listenForPressure(node *cluster.Node, accounts *quota.Accounts) {
+// subscribeNearLimit passes near-limit hints from other daemons to the accounts.
+func subscribeNearLimit(node *cluster.Node, accounts *quota.Accounts) {
 	node.Subscribe(func(event membership.Event) {
 		if event.Kind != membership.EventHint {
 			return
 		}
-		if account, isPressed := strings.CutPrefix(event.Item.Key, keyPressed); isPressed {
+		if account, isNearLimit := strings.CutPrefix(event.Item.Key, keyNearLimit); isNearLimit {
 			accounts.MarkNearLimit(account, time.Now())
 		}
 	})
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -11,30 +11,28 @@
 )
 
 const (
-	// sectionRows is the least size of a section, and sectionBackends how many usable backends
-	// of each service it has at least: enough for a zone of them to be lost, and for
-	// a daemon's requests to find a place.
+	// sectionRows is the minimum size of a section, and sectionBackends the minimum number of
+	// usable backends of each service in it. They allow for the loss of a zone.
 	sectionRows     = 192
 	sectionBackends = 5
-	// mostSectionRows bounds a section while a service has too few backends in the whole
-	// table.
-	mostSectionRows = 4096
-	// manySections is how many times its size a section grows to before it is read anew.
-	manySections = 3
-	// crowdedShare is the part of a service's slots in use from which on a daemon looks
-	// for more backends.
-	crowdedShare = 0.8
-	// shortestWiden and longestWiden bound the pause between two tries to know more backends;
-	// it doubles while they remain too few.
-	shortestWiden = time.Second
-	longestWiden  = time.Minute
+	// maxSectionRows bounds a section if the table has too few backends of a service.
+	maxSectionRows = 4096
+	// sectionGrowth is the factor by which a section may grow before it is read again.
+	sectionGrowth = 3
+	// overloadShare is the fraction of a service's slots in use above which the section is
+	// widened.
+	overloadShare = 0.8
+	// minWidenPause and maxWidenPause bound the pause between two attempts to widen the
+	// section. The pause doubles while there are too few backends.
+	minWidenPause = time.Second
+	maxWidenPause = time.Minute
 )
 
-// sectionPlan decides which backends of a large fleet this daemon knows: those from its
-// own place on the ring of ids on, until there are enough of each service that the
-// configuration names. It is used by the follower of the backends alone.
+// sectionPlan decides which backends a daemon of a large fleet follows: a section of the ring of
+// backend ids that starts at the daemon's own position and ends where it has enough backends of
+// each service in use. Only the follower of the backends uses it.
 type sectionPlan struct {
-	place    float64
+	position float64
 	decode   func(key string, value []byte) (backend.Instance, error)
 	holder   *route.Holder
 	backends *backend.Set
@@ -42,10 +40,11 @@
 
 	// readRows is the size of the section when it was last read.
 	readRows int
-	// wanted is how many usable backends are sought, where more than sectionBackends.
+	// wanted is the number of usable backends sought for a service, if more than
+	// sectionBackends.
 	wanted map[string]int
-	// pause is the time between the last two tries for more, and pausedUntil when the
-	// next is made at the earliest.
+	// pause is the time between the last two attempts to widen the section, and pausedUntil
+	// the earliest time of the next.
 	pause       time.Duration
 	pausedUntil time.Time
 }
@@ -54,18 +53,18 @@
 
 func newSectionPlan(daemon string, ports Ports, holder *route.Holder, backends *backend.Set, log *slog.Logger) *sectionPlan {
 	return &sectionPlan{
-		place: topology.RingPosition(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
+		position: topology.RingPosition(daemon), decode: ports.DecodeInstance, holder: holder, backends: backends, log: log, wanted: map[string]int{},
 	}
 }
 
 // Place implements table.SectionPlan.
-func (p *sectionPlan) Place() float64 { return p.place }
+func (p *sectionPlan) Place() float64 { return p.position }
 
 // IsEnough implements table.SectionPlan.
 func (p *sectionPlan) IsEnough(rows []table.Row) bool {
 	p.readRows = len(rows)
-	if len(rows) < sectionRows || len(rows) >= mostSectionRows {
-		return len(rows) >= mostSectionRows
+	if len(rows) < sectionRows || len(rows) >= maxSectionRows {
+		return len(rows) >= maxSectionRows
 	}
 	usable := map[string]int{}
 	for _, row := range rows {
@@ -95,25 +94,26 @@
 		p.pause = 0
 		return false
 	}
-	p.pause = min(max(2*p.pause, shortestWiden), longestWiden)
+	p.pause = min(max(2*p.pause, minWidenPause), maxWidenPause)
 	p.pausedUntil = now.Add(p.pause)
 	return true
 }
 
-// WantsLess implements table.SectionPlan: the table has grown since the section was read.
+// WantsLess implements table.SectionPlan. It reports whether the section has outgrown its size
+// at the last read.
 func (p *sectionPlan) WantsLess(rows int) bool {
-	return rows > manySections*max(p.readRows, sectionRows)
+	return rows > sectionGrowth*max(p.readRows, sectionRows)
 }
 
-// isShortOf reports whether too few backends of a service are known: many have gone, or
-// those that are left have little room.
+// isShortOf reports whether too few backends of a service are known: fewer than half of the
+// wanted number, or too few free slots.
 func (p *sectionPlan) isShortOf(service string, now time.Time) bool {
 	load := p.backends.ServiceLoad(service, now)
-	isCrowded := float64(load.Online+load.Batch) > crowdedShare*float64(load.Slots)
-	if isCrowded {
+	isOverloaded := float64(load.Online+load.Batch) > overloadShare*float64(load.Slots)
+	if isOverloaded {
 		p.wanted[service] = 2 * max(load.Backends, sectionBackends)
 	}
-	isShort := isCrowded || load.Backends < (p.wantedOf(service)+1)/2
+	isShort := isOverloaded || load.Backends < (p.wantedOf(service)+1)/2
 	if isShort {
 		p.log.Info("more_backends_wanted", "service", service, "known", load.Backends, "wanted", p.wantedOf(service), "slots", load.Slots, "online", load.Online, "batch", load.Batch)
 	}
@@ -122,7 +122,7 @@
 
 func (p *sectionPlan) wantedOf(service string) int { return max(p.wanted[service], sectionBackends) }
 
-// services are those to which the configuration in force sends requests.
+// services returns the services to which the current configuration routes requests.
 func (p *sectionPlan) services() []string {
 	current := p.holder.Current()
 	if current == nil {
--- a/internal/frontend/section_test.go
+++ b/internal/frontend/section_test.go
@@ -15,7 +15,7 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// testPlan reads rows whose values are service and slots.
+// testPlan returns a plan for rows whose value is the name of the service.
 func testPlan(services ...string) (*sectionPlan, *backend.Set) {
 	routes := []route.Route{}
 	for _, service := range services {
@@ -37,8 +37,8 @@
 	return rows
 }
 
-// TestSectionHasEnoughOfEachService, also of a small one, and does not grow without bound
-// for one that nobody runs.
+// TestSectionHasEnoughOfEachService: a section has enough backends of a rare service, and is
+// bounded if a service has none.
 func TestSectionHasEnoughOfEachService(t *testing.T) {
 	rare := func(index int) string {
 		if index%100 == 99 {
@@ -51,16 +51,16 @@
 	require.False(t, plan.IsEnough(backendRows(499, rare)))
 	require.True(t, plan.IsEnough(backendRows(500, rare)))
 	plan, _ = testPlan("common", "nobody")
-	require.False(t, plan.IsEnough(backendRows(mostSectionRows-1, rare)))
-	require.True(t, plan.IsEnough(backendRows(mostSectionRows, rare)))
+	require.False(t, plan.IsEnough(backendRows(maxSectionRows-1, rare)))
+	require.True(t, plan.IsEnough(backendRows(maxSectionRows, rare)))
 	plan, _ = testPlan()
 	require.False(t, plan.IsEnough(backendRows(sectionRows-1, rare)))
 	require.True(t, plan.IsEnough(backendRows(sectionRows, rare)), "no configuration is known yet")
 }
 
-// TestMoreBackendsAreSoughtWhenFewAreLeft or when those that are known have little room,
-// and less and less often while there are no more.
-func TestMoreBackendsAreSoughtWhenFewAreLeft(t *testing.T) {
+// TestSectionWidensWhenShort: the section is widened if few backends are left or have few free
+// slots, with growing pauses while this does not help.
+func TestSectionWidensWhenShort(t *testing.T) {
 	plan, backends := testPlan("s")
 	for index := range sectionBackends {
 		backends.Put(backend.Instance{ID: strconv.Itoa(index), Service: "s", Slots: 2})
@@ -76,39 +76,39 @@
 			return "s"
 		}
 		return "other"
-	})), "as many as are known are not enough now")
+	})), "the current number of backends must not be enough")
 
 	plan, backends = testPlan("s")
 	backends.Put(backend.Instance{ID: "left", Service: "s", Slots: 2})
 	require.True(t, plan.WantsMore())
-	require.False(t, plan.WantsMore(), "it was just tried")
+	require.False(t, plan.WantsMore(), "the pause after an attempt must be kept")
 	plan.pausedUntil = time.Time{}
 	require.True(t, plan.WantsMore())
-	require.Equal(t, 2*shortestWiden, plan.pause)
+	require.Equal(t, 2*minWidenPause, plan.pause)
 }
 
-// TestUpstreamTellsASectionItsOwnChanges: a call is held through changes elsewhere, answered
-// by one inside, and refused where the changes are not kept so far back.
-func TestUpstreamTellsASectionItsOwnChanges(t *testing.T) {
+// TestUpstreamServesSectionChanges: a call waits through changes outside its section, is answered
+// at one inside, and is refused if the changes are no longer kept.
+func TestUpstreamServesSectionChanges(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "m")
 	serving := serverOf(newCopy(t, store))
-	_, held, _ := serving.copies["t"].replica.Since(0)
-	request := followSectionRequest{Table: "t", After: int64(held), WaitMilliseconds: patience.Milliseconds(), From: "m", Before: "p"}
+	_, version, _ := serving.copies["t"].replica.Since(0)
+	request := followSectionRequest{Table: "t", After: int64(version), WaitMilliseconds: testTimeout.Milliseconds(), From: "m", Before: "p"}
 	go func() {
 		for _, key := range []string{"a", "z", "n"} {
 			time.Sleep(20 * time.Millisecond)
 			_, _ = store.Commit(context.Background(), table.Transaction{Writes: []table.Write{{Table: "t", Key: key, Value: []byte(key)}}})
 		}
 	}()
-	told, err := serving.serveSection(t.Context(), "", request)
+	answer, err := serving.serveSection(t.Context(), "", request)
 	require.NoError(t, err)
-	require.Len(t, told.Rows, 1)
-	require.Equal(t, "n", told.Rows[0].Key)
-	request.After, request.WaitMilliseconds = told.Version, 10
-	told, err = serving.serveSection(t.Context(), "", request)
+	require.Len(t, answer.Rows, 1)
+	require.Equal(t, "n", answer.Rows[0].Key)
+	request.After, request.WaitMilliseconds = answer.Version, 10
+	answer, err = serving.serveSection(t.Context(), "", request)
 	require.NoError(t, err)
-	require.Empty(t, told.Rows)
+	require.Empty(t, answer.Rows)
 	request.After = 0
 	_, err = serving.serveSection(t.Context(), "", request)
 	require.ErrorContains(t, err, "not kept")
@@ -117,9 +117,9 @@
 	require.Error(t, err)
 }
 
-// TestPartIsNotToldAsTheWhole: to a daemon that asks for the whole table by its copy or by
-// following, which would take all other backends for gone.
-func TestPartIsNotToldAsTheWhole(t *testing.T) {
+// TestSectionIsNotServedAsCompleteTable: a daemon that asks for the complete table must not get a
+// section, as it would remove all other backends.
+func TestSectionIsNotServedAsCompleteTable(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "m")
 	offered := newCopy(t, store)
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -14,24 +14,23 @@
 	"topazpulley/internal/table"
 )
 
-// methodNewer is the method of the peer protocol by which a daemon asks
-// another for its copy of a table.
+// methodNewer is the peer method that returns a daemon's copy of a table.
 const methodNewer = "table.newer"
 
-// methodNewerPart is the same for a table of which daemons may keep a section each.
+// methodNewerPart is the same for a table of which each daemon may keep only a section.
 const methodNewerPart = "table.newer_part"
 
-// askedPeers is how many daemons are asked at a time.
+// askedPeers is the maximum number of daemons that are asked, in turn.
 const askedPeers = 2
 
-// newerRequest asks for a table if it is newer than a version.
+// newerRequest asks for a copy of a table that is newer than a version.
 type newerRequest struct {
 	Table string `avro:"table"`
 	After int64  `avro:"after"`
 }
 
-// newerAnswer is a copy of a table. Rows are given only if it is newer; Version
-// is 0 if the table is not followed.
+// newerAnswer is a copy of a table. Rows is empty unless the copy is newer. Version is 0 if the
+// table is not followed or only a section of it is kept.
 type newerAnswer struct {
 	Version         int64       `avro:"version"`
 	IsNewer         bool        `avro:"is_newer"`
@@ -39,8 +38,7 @@
 	Rows            []rowRecord `avro:"rows"`
 }
 
-// newerPartAnswer is newerAnswer for a section, as in table.Section, which holds a part of
-// all keys.
+// newerPartAnswer is newerAnswer for a table that may be kept as a section (table.Section).
 type newerPartAnswer struct {
 	Version         int64       `avro:"version"`
 	IsNewer         bool        `avro:"is_newer"`
@@ -61,11 +59,11 @@
 	IsDeleted bool   `avro:"is_deleted"`
 }
 
-// rowRecordSchema is that of rowRecord, for the messages that hold rows.
+// rowRecordSchema is the Avro schema of rowRecord.
 const rowRecordSchema = `{"type":"record","name":"row","fields":[{"name":"table","type":"string"},{"name":"partition","type":"string"},{"name":"key","type":"string"},
 	{"name":"value","type":"bytes"},{"name":"version","type":"long"},{"name":"is_deleted","type":"boolean"}]}`
 
-// rowRecords makes records of rows.
+// rowRecords converts rows to records.
 func rowRecords(rows []table.Row) []rowRecord {
 	records := make([]rowRecord, 0, len(rows))
 	for _, row := range rows {
@@ -78,7 +76,7 @@
 	return records
 }
 
-// tableRows makes rows of records.
+// tableRows converts records to rows.
 func tableRows(records []rowRecord) []table.Row {
 	rows := make([]table.Row, 0, len(records))
 	for _, each := range records {
@@ -110,8 +108,8 @@
 // Schema implements peer.Message.
 func (newerAnswer) Schema() avro.Schema { return newerAnswerSchema }
 
-// peerSource answers other daemons from the copies of followed tables, and asks
-// them. Copies are offered before the transport starts.
+// peerSource serves this daemon's copies of followed tables to other daemons, and requests
+// theirs. Copies must be offered before the transport starts.
 type peerSource struct {
 	node      *cluster.Node
 	transport *peer.Transport
@@ -131,28 +129,28 @@
 
 func (s *peerSource) answer(_ context.Context, _ string, request newerRequest) (newerAnswer, error) {
 	answer := newerAnswer{Rows: []rowRecord{}}
-	held, isOffered := s.copies[request.Table]
-	if !isOffered || held.replica.Section().IsPart {
+	offered, isOffered := s.copies[request.Table]
+	if !isOffered || offered.replica.Section().IsPart {
 		return answer, nil
 	}
-	answer.AgeMilliseconds = roundUp(held.follower.Age())
-	rows, version, isNewer := held.replica.Since(table.Version(request.After))
+	answer.AgeMilliseconds = roundUp(offered.follower.Age())
+	rows, version, isNewer := offered.replica.Since(table.Version(request.After))
 	answer.Version, answer.IsNewer, answer.Rows = int64(version), isNewer, rowRecords(rows)
 	return answer, nil
 }
 
-// answerPart tells what is kept of a table.
+// answerPart returns the copy of a table with its section.
 func (s *peerSource) answerPart(_ context.Context, _ string, request newerRequest) (newerPartAnswer, error) {
 	answer := newerPartAnswer{Rows: []rowRecord{}}
-	held, isOffered := s.copies[request.Table]
+	offered, isOffered := s.copies[request.Table]
 	if !isOffered {
 		return answer, nil
 	}
-	answer.AgeMilliseconds = roundUp(held.follower.Age())
-	section, width, isKnown := held.follower.Section()
-	rows, version, isNewer := held.replica.Since(table.Version(request.After))
-	if !isKnown || held.replica.Section() != section {
-		return answer, nil // it is being read anew
+	answer.AgeMilliseconds = roundUp(offered.follower.Age())
+	section, width, isKnown := offered.follower.Section()
+	rows, version, isNewer := offered.replica.Since(table.Version(request.After))
+	if !isKnown || offered.replica.Section() != section {
+		return answer, nil // the section is being read again
 	}
 	answer.Version, answer.IsNewer, answer.Rows = int64(version), isNewer, rowRecords(rows)
 	answer.IsPart, answer.From, answer.Before, answer.Width = section.IsPart, section.From, section.Before, width
@@ -162,7 +160,7 @@
 // NewerPart implements table.Peers.
 func (s *peerSource) NewerPart(ctx context.Context, name string, after table.Version) (table.PeerCopy, bool) {
 	request := newerRequest{Table: name, After: int64(after)}
-	return s.newest(func(address string) (table.PeerCopy, error) {
+	return s.askNewest(func(address string) (table.PeerCopy, error) {
 		answer, err := peer.Call[newerRequest, newerPartAnswer](ctx, s.transport, address, methodNewerPart, request)
 		return table.PeerCopy{
 			Rows: tableRows(answer.Rows), IsNewer: answer.IsNewer, Version: table.Version(answer.Version),
@@ -175,7 +173,7 @@
 // Newer implements table.Peers.
 func (s *peerSource) Newer(ctx context.Context, name string, after table.Version) (table.PeerCopy, bool) {
 	request := newerRequest{Table: name, After: int64(after)}
-	return s.newest(func(address string) (table.PeerCopy, error) {
+	return s.askNewest(func(address string) (table.PeerCopy, error) {
 		answer, err := peer.Call[newerRequest, newerAnswer](ctx, s.transport, address, methodNewer, request)
 		return table.PeerCopy{
 			Rows: tableRows(answer.Rows), IsNewer: answer.IsNewer, Version: table.Version(answer.Version),
@@ -184,25 +182,26 @@
 	})
 }
 
-// newest asks some live daemons, chosen anew each time.
-func (s *peerSource) newest(ask func(address string) (table.PeerCopy, error)) (table.PeerCopy, bool) {
+// askNewest asks randomly chosen live daemons. It returns the first newer copy, or else the
+// answer with the lowest age.
+func (s *peerSource) askNewest(ask func(address string) (table.PeerCopy, error)) (table.PeerCopy, bool) {
 	latest, isFound := table.PeerCopy{}, false
-	for _, member := range s.some() {
-		held, err := ask(member.Address)
-		if err != nil || held.Version == 0 {
+	for _, member := range s.randomPeers() {
+		received, err := ask(member.Address)
+		if err != nil || received.Version == 0 {
 			continue
 		}
-		if held.IsNewer {
-			return held, true
+		if received.IsNewer {
+			return received, true
 		}
-		if !isFound || held.Age < latest.Age {
-			latest, isFound = held, true
+		if !isFound || received.Age < latest.Age {
+			latest, isFound = received, true
 		}
 	}
 	return latest, isFound
 }
 
-func (s *peerSource) some() []membership.Member {
+func (s *peerSource) randomPeers() []membership.Member {
 	self := s.node.Self().Name
 	others := []membership.Member{}
 	for _, member := range s.node.Members() {
--- a/internal/frontend/storemessage.go
+++ b/internal/frontend/storemessage.go
@@ -19,7 +19,7 @@
 	storeGetObject  storeOperation = "get_object"
 )
 
-// storeRequest is a call to the store that another daemon makes.
+// storeRequest asks another daemon to make a call to the store.
 type storeRequest struct {
 	Operation    string           `avro:"operation"`
 	Table        string           `avro:"table"`
@@ -52,8 +52,8 @@
 	Key   string `avro:"key"`
 }
 
-// storeAnswer is how the call ended. ErrorKind is -1 without an error; the rows
-// of a conflict bear the names of their tables.
+// storeAnswer is the result of a call. ErrorKind is noError if there was none. The rows of a
+// conflict have their table names set.
 type storeAnswer struct {
 	ErrorKind  int         `avro:"error_kind"`
 	IsConflict bool        `avro:"is_conflict"`
@@ -89,7 +89,7 @@
 // Schema implements peer.Message.
 func (storeAnswer) Schema() avro.Schema { return storeAnswerSchema }
 
-// emptyAnswer tells how a call ended.
+// emptyAnswer returns an answer with the error of a call and no content.
 func emptyAnswer(err error) storeAnswer {
 	answer := storeAnswer{ErrorKind: noError, Rows: []rowRecord{}, Partitions: []string{}, Content: []byte{}}
 	var conflict *table.ConflictError
@@ -106,7 +106,7 @@
 	return answer
 }
 
-// failure returns the error that an answer tells of, or nil.
+// failure returns the error in an answer, or nil.
 func (a storeAnswer) failure(operation storeOperation) error {
 	if a.IsConflict {
 		return &table.ConflictError{Rows: tableRows(a.Rows)}
--- a/internal/frontend/unreadable.go
+++ b/internal/frontend/unreadable.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// unreadablePause is the shortest time between two lines on entries of one kind:
-	// whoever writes such entries may write many, and often.
+	// unreadablePause is the minimum time between two log lines on entries of one kind.
 	unreadablePause = 10 * time.Second
-	// unknownKind is the kind of an entry whose decoder names none.
+	// unknownKind is the kind of an entry whose decoding error has no code.
 	unknownKind = "unknown"
 )
 
-// unreadableEntries counts and logs entries that name no backend to use, a line a kind
-// now and then. It is used by one goroutine.
+// unreadableEntries counts entries that can't be used and logs them at a limited rate per kind.
+// It is used by one goroutine.
 type unreadableEntries struct {
 	log     *slog.Logger
 	metrics *telemetry.Backends
-	// byKind is bounded by the kinds, which are few.
+	// byKind is bounded by the small number of kinds.
 	byKind map[string]*unreadableKind
 }
 
-// unreadableKind is what is kept of one kind.
+// unreadableKind is the logging state of one kind.
 type unreadableKind struct {
 	loggedAt time.Time
 	// unlogged counts the entries since the last line.
@@ -40,8 +39,8 @@
 	return &unreadableEntries{log: log, metrics: metrics, byKind: map[string]*unreadableKind{}}
 }
 
-// note takes one entry in.
-func (u *unreadableEntries) note(row table.Row, cause error, now time.Time) {
+// record counts an entry and logs it unless its kind was logged recently.
+func (u *unreadableEntries) record(row table.Row, cause error, now time.Time) {
 	kind := kindOf(cause)
 	u.metrics.Unreadable.WithLabelValues(kind).Inc()
 	known, exists := u.byKind[kind]
@@ -57,7 +56,7 @@
 	known.loggedAt, known.unlogged = now, 0
 }
 
-// kindOf returns the code that the decoder gave its error.
+// kindOf returns the code of a decoding error.
 func kindOf(cause error) string {
 	var failed *failure.Error
 	if errors.As(cause, &failed) {
@@ -66,15 +65,15 @@
 	return unknownKind
 }
 
-// birthLead is how far ahead of this machine's clock the birth of a backend may be:
-// clocks of machines differ, by two seconds in the worst of what is known.
-const birthLead = time.Minute
+// maxStartLead is how far ahead of this machine's clock the start time of a backend may be. It
+// allows for clock differences between machines.
+const maxStartLead = time.Minute
 
-// checkBirth refuses an entry whose process has yet to start. Births of an id only rise,
-// so one that lies ahead would keep the backend's own entries out until then.
-func checkBirth(instance backend.Instance, now time.Time) error {
-	if instance.StartMillis > now.Add(birthLead).UnixMilli() {
-		return failure.New(failure.KindInvalid, "bad_birth", "the entry of back end %s tells a birth that is ahead", instance.ID)
+// checkStartTime rejects an entry with a start time in the future. Entries with an earlier start
+// time than the listed one are ignored, so such an entry would block the backend's own entries.
+func checkStartTime(instance backend.Instance, now time.Time) error {
+	if instance.StartMillis > now.Add(maxStartLead).UnixMilli() {
+		return failure.New(failure.KindInvalid, "bad_birth", "the start time in the entry of backend %s is in the future", instance.ID)
 	}
 	return nil
 }
--- a/internal/frontend/upstream.go
+++ b/internal/frontend/upstream.go
@@ -20,27 +20,25 @@
 )
 
 const (
-	// methodFollow is the method of the peer protocol by which a daemon follows
-	// another's copy of a table.
+	// methodFollow is the peer method that returns changes to another daemon's copy of a
+	// table.
 	methodFollow = "table.follow"
 	// methodFollowSection is the same for a section of a table.
 	methodFollowSection = "table.follow_section"
-	// upstreamAge is how long ago the store must have answered for a copy to be
-	// told to others. With the time until a caller notices a silent upstream it
-	// keeps every daemon within two seconds of the store, which is less than
-	// the shortest bound on configuration and leaving backends in fleets of
-	// this size (three seconds).
+	// upstreamAge is the maximum age of a copy that is served to others. With the time to
+	// detect an upstream that does not answer, every daemon is at most two seconds behind the
+	// store; the strictest limit in large fleets is three seconds.
 	upstreamAge = 1500 * time.Millisecond
-	// upstreamTries is how many upstreams are asked in turn while each refuses within
-	// refusalTime.
+	// upstreamTries is the maximum number of upstreams that are asked in turn while each
+	// refuses within refusalTime.
 	upstreamTries = 3
 	refusalTime   = 100 * time.Millisecond
-	// choiceAge is how long the choice of an upstream is used.
+	// choiceAge is how long a choice of upstreams is used.
 	choiceAge = 300 * time.Millisecond
 )
 
-// followRequest asks for the changes of a table behind a version. The answer is
-// held until there are some, but no longer than the wait.
+// followRequest asks for the changes of a table after a version. The answer is sent as soon as
+// there are changes, and at the latest after the wait.
 type followRequest struct {
 	Table            string `avro:"table"`
 	After            int64  `avro:"after"`
@@ -56,13 +54,13 @@
 	Before           string `avro:"before"`
 }
 
-// followAnswer is what changed, or the whole table.
+// followAnswer has the changes, or the complete table if IsWhole.
 type followAnswer struct {
 	Version   int64 `avro:"version"`
 	IsWhole   bool  `avro:"is_whole"`
 	IsSettled bool  `avro:"is_settled"`
-	// AgeMilliseconds is for how long, when the call came, the upstream's copy may
-	// not have been the present state; negative if it was confirmed during the call.
+	// AgeMilliseconds is the age of the upstream's copy relative to the arrival of the call;
+	// negative if the copy was confirmed during the call.
 	AgeMilliseconds int64       `avro:"age_milliseconds"`
 	Rows            []rowRecord `avro:"rows"`
 }
@@ -86,15 +84,15 @@
 // Schema implements peer.Message.
 func (followAnswer) Schema() avro.Schema { return followAnswerSchema }
 
-// followedCopy is a table that this daemon follows, with its copy.
+// followedCopy is the follower of a table with its copy.
 type followedCopy struct {
 	follower *table.Follower
 	replica  *table.Replica
 }
 
-// upstream chooses the daemon of the zone that is followed in place of the
-// store, and serves those that follow this one. Tables are offered before the
-// transport starts. mutex guards the fields behind it.
+// upstream chooses the daemon of the zone that is followed instead of the store, and serves the
+// daemons that follow this one. Tables must be offered before the transport starts. mutex guards
+// the fields after it.
 type upstream struct {
 	node      *cluster.Node
 	transport *peer.Transport
@@ -105,9 +103,9 @@
 	chosenAt time.Time
 	// chosen are the upstreams of the zone; none in a small fleet.
 	chosen []membership.Member
-	// chosenOf is the generation of the membership that they were chosen from.
+	// chosenOf is the membership generation of the choice.
 	chosenOf uint64
-	// skipped counts failures, so that the next try is made at the other.
+	// skipped counts failures, so that the next call goes to another upstream.
 	skipped int
 }
 
@@ -129,7 +127,7 @@
 	return slices.ContainsFunc(chosen, func(member membership.Member) bool { return member.Name == u.self.Name })
 }
 
-// current returns the upstreams of the zone, chosen anew now and then.
+// current returns the upstreams of the zone. The choice is refreshed every choiceAge.
 func (u *upstream) current(now time.Time) []membership.Member {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -143,9 +141,8 @@
 	return u.chosen
 }
 
-// upstreamsOf returns the daemons that follow the tables for a zone, or none
-// when the fleet is so small that each does so itself. A suspected daemon is
-// none.
+// upstreamsOf returns the upstreams of a zone. Suspected daemons are not chosen. There are none
+// if the fleet has at most directLimit daemons, each of which then follows the store directly.
 func upstreamsOf(zone string, members []membership.Member, directLimit int) []membership.Member {
 	if len(members) <= directLimit {
 		return nil
@@ -181,8 +178,8 @@
 	}, true, nil
 }
 
-// askSome asks one upstream after the other while they refuse at once: one that has just
-// become an upstream does not know the present state yet.
+// askSome asks one upstream after the other while they refuse quickly. A daemon refuses while
+// its copy is not current, as when it has just become an upstream.
 func (u *upstream) askSome(ctx context.Context, chosen []membership.Member, name string, section table.Section, after table.Version, wait time.Duration) (answer followAnswer, err error) {
 	for range min(upstreamTries, len(chosen)) {
 		started := time.Now()
@@ -198,7 +195,7 @@
 	return answer, err
 }
 
-// ask has one upstream answer when something has changed.
+// ask calls one upstream, which answers when there are changes or the wait is over.
 func (u *upstream) ask(ctx context.Context, address, name string, section table.Section, after table.Version, wait time.Duration) (followAnswer, error) {
 	if section.IsPart {
 		request := followSectionRequest{Table: name, After: int64(after), WaitMilliseconds: wait.Milliseconds(), From: section.From, Before: section.Before}
@@ -208,7 +205,7 @@
 	return peer.Call[followRequest, followAnswer](ctx, u.transport, address, methodFollow, request)
 }
 
-// pick spreads the daemons of a zone over its upstreams.
+// pick chooses an upstream by a hash of this daemon's name, to spread the load.
 func (u *upstream) pick(chosen []membership.Member) membership.Member {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -232,10 +229,10 @@
 	if err := offered.await(ctx, after, time.Duration(request.WaitMilliseconds)*time.Millisecond); err != nil {
 		return followAnswer{}, err
 	}
-	// In this order a process that is held up between any two steps tells an age that
-	// is too great, never one that is too small.
-	held := offered.follower.Now().Sub(called)
-	age := offered.follower.StoreAge() - held
+	// In this order a process that pauses between any two steps reports an age that is too
+	// high, never one that is too low.
+	waited := offered.follower.Now().Sub(called)
+	age := offered.follower.StoreAge() - waited
 	changes, isWhole, isKnown := offered.replica.ChangesSince(after)
 	if !isKnown {
 		return followAnswer{}, notKept(request.Table)
@@ -246,8 +243,8 @@
 	}, nil
 }
 
-// serveSection answers a daemon that follows a section of a table here. It waits for a
-// change within the section: in a large fleet others come all the time.
+// serveSection answers a daemon that follows a section of a table. Only changes within the
+// section end the wait.
 func (u *upstream) serveSection(ctx context.Context, _ string, request followSectionRequest) (followAnswer, error) {
 	offered, isOffered := u.copies[request.Table]
 	if !isOffered {
@@ -261,9 +258,9 @@
 		if err := offered.await(ctx, after, time.Until(end)); err != nil {
 			return followAnswer{}, err
 		}
-		// In this order, as in serve.
-		held := offered.follower.Now().Sub(called)
-		age := offered.follower.StoreAge() - held
+		// The order matters, as in serve.
+		waited := offered.follower.Now().Sub(called)
+		age := offered.follower.StoreAge() - waited
 		changes, isKnown := offered.replica.SectionSince(section, after)
 		if !isKnown {
 			return followAnswer{}, notKept(request.Table)
@@ -275,17 +272,17 @@
 	}
 }
 
-// notKept tells that changes which lie further back are asked for than are kept, and that
-// the table is not kept as a whole.
+// notKept returns the error for a request for changes older than those kept, by a daemon that
+// can't send the complete table either.
 func notKept(name string) error {
 	return failure.New(failure.KindUnavailable, "changes_not_kept", "changes of table %q are not kept so far back", name).WithNotRun()
 }
 
-// roundUp returns a duration in whole milliseconds, never too short.
+// roundUp returns a duration in milliseconds, rounded up.
 func roundUp(span time.Duration) int64 { return (span + time.Millisecond - 1).Milliseconds() }
 
-// await waits until rows have changed behind a version, or for the whole wait.
-// It fails as soon as the copy is too old to be told to others.
+// await waits until rows have changed after a version, or until the wait is over. It fails as
+// soon as the copy is older than upstreamAge.
 func (c followedCopy) await(ctx context.Context, after table.Version, wait time.Duration) error {
 	end := time.Now().Add(wait)
 	changed := c.replica.Changed(after)
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	patience = 10 * time.Second
-	pollTime = 5 * time.Millisecond
+	testTimeout = 10 * time.Second
+	pollTime    = 5 * time.Millisecond
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -36,9 +36,9 @@
 	return members
 }
 
-// TestEachZoneOfALargeFleetHasItsUpstreams, which all of its daemons agree on;
-// a suspected daemon is none, and a small fleet has none.
-func TestEachZoneOfALargeFleetHasItsUpstreams(t *testing.T) {
+// TestUpstreamsOfZone: each zone of a large fleet has its upstreams, a suspected daemon is not
+// chosen, and a small fleet has none.
+func TestUpstreamsOfZone(t *testing.T) {
 	members := fleetIn(3, 20)
 	chosen := upstreamsOf("zone-1", members, topology.FullMeshLimit)
 	require.Len(t, chosen, topology.UpstreamCount(20))
@@ -53,7 +53,7 @@
 	require.Empty(t, upstreamsOf("zone-1", fleetIn(4, 10), topology.FullMeshLimit))
 }
 
-// newCopy follows a table of a store in memory.
+// newCopy returns a running follower of table t of a store, with its copy.
 func newCopy(t *testing.T, store table.Store) followedCopy {
 	t.Helper()
 	made := followedCopy{replica: &table.Replica{Consumer: discard{}}}
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go made.follower.Run(ctx)
-	require.Eventually(t, func() bool { return made.follower.StoreAge() < upstreamAge }, patience, pollTime)
+	require.Eventually(t, func() bool { return made.follower.StoreAge() < upstreamAge }, testTimeout, pollTime)
 	return made
 }
 
@@ -80,8 +80,9 @@
 	require.NoError(t, err)
 }
 
-// TestUpstreamTellsChangesAsTheyCome: only what changed, as soon as it changed.
-func TestUpstreamTellsChangesAsTheyCome(t *testing.T) {
+// TestUpstreamServesChanges: after the first answer an upstream sends only what changed, as soon
+// as it changes.
+func TestUpstreamServesChanges(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "a")
 	serving := serverOf(newCopy(t, store))
@@ -93,7 +94,7 @@
 		time.Sleep(20 * time.Millisecond)
 		put(t, store, "b")
 	}()
-	next, err := serving.serve(t.Context(), "", followRequest{Table: "t", After: first.Version, WaitMilliseconds: patience.Milliseconds()})
+	next, err := serving.serve(t.Context(), "", followRequest{Table: "t", After: first.Version, WaitMilliseconds: testTimeout.Milliseconds()})
 	require.NoError(t, err)
 	require.False(t, next.IsWhole)
 	require.Len(t, next.Rows, 1)
@@ -101,56 +102,50 @@
 	require.Greater(t, next.Version, first.Version)
 }
 
-// TestUpstreamWithoutStoreTellsNothing: once the store has not answered for a
-// while, those that follow must look for themselves, however long they would
-// wait.
-func TestUpstreamWithoutStoreTellsNothing(t *testing.T) {
+// TestUpstreamWithoutStoreRefuses: an upstream whose copy becomes too old must end waiting calls
+// with an error.
+func TestUpstreamWithoutStoreRefuses(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "a")
 	serving := serverOf(newCopy(t, store))
 	store.SetDecide(func(string) tabletest.Fault { return tabletest.FaultRefuse })
 	begun := time.Now()
-	_, err := serving.serve(t.Context(), "", followRequest{Table: "t", After: 99, WaitMilliseconds: patience.Milliseconds()})
+	_, err := serving.serve(t.Context(), "", followRequest{Table: "t", After: 99, WaitMilliseconds: testTimeout.Milliseconds()})
 	require.ErrorContains(t, err, "old")
-	require.Less(t, time.Since(begun), patience/2)
+	require.Less(t, time.Since(begun), testTimeout/2)
 }
 
-// TestUpstreamHeldUpWhileItTellsItsAge.
-//
-// What was found in review: the age that an upstream tells is read first, and then
-// the moment to which it is related. A process that does not run in between (it is
-// stopped, or waits for a processor) tells an age that is too small by as long, and
-// its followers start items on claims that are older than they believe. Evidence:
-// this test, whose clock holds the process up for half a second.
-func TestUpstreamHeldUpWhileItTellsItsAge(t *testing.T) {
-	const heldUp = 500 * time.Millisecond
+// TestUpstreamPausedDuringAgeReport: an upstream whose process pauses while it computes the age
+// of its copy must not report too low an age, or its followers start items on stale claims.
+func TestUpstreamPausedDuringAgeReport(t *testing.T) {
+	const pauseTime = 500 * time.Millisecond
 	store := tabletest.NewMemory()
 	put(t, store, "a")
-	var isHeldUp atomic.Bool
+	var isPaused atomic.Bool
 	offered := followedCopy{replica: &table.Replica{Consumer: discard{}}}
 	offered.follower = &table.Follower{Store: store, Table: "t", Consumer: offered.replica, Logger: quiet, Wait: 50 * time.Millisecond, Clock: func() boottime.Instant {
 		now := boottime.Now()
-		if isHeldUp.Load() {
-			time.Sleep(heldUp)
+		if isPaused.Load() {
+			time.Sleep(pauseTime)
 		}
 		return now
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); offered.follower.Run(ctx) }()
-	require.Eventually(t, func() bool { return offered.follower.StoreAge() < upstreamAge }, patience, pollTime)
+	require.Eventually(t, func() bool { return offered.follower.StoreAge() < upstreamAge }, testTimeout, pollTime)
 	cancel()
-	<-ended // nothing is confirmed from here on
+	<-ended // the follower has stopped: no more confirmations
 	confirmed := boottime.Now().Add(-offered.follower.StoreAge())
-	isHeldUp.Store(true)
+	isPaused.Store(true)
 	called := boottime.Now()
-	told, err := serverOf(offered).serve(t.Context(), "", followRequest{Table: "t"})
+	answer, err := serverOf(offered).serve(t.Context(), "", followRequest{Table: "t"})
 	require.NoError(t, err)
-	claimed := called.Add(-time.Duration(told.AgeMilliseconds) * time.Millisecond)
-	require.LessOrEqual(t, claimed.Sub(confirmed), 10*time.Millisecond, "the copy is told to be newer than it is")
+	claimed := called.Add(-time.Duration(answer.AgeMilliseconds) * time.Millisecond)
+	require.LessOrEqual(t, claimed.Sub(confirmed), 10*time.Millisecond, "the copy is reported to be newer than it is")
 }
 
-// startUpstream starts a daemon's end of the peer protocol that serves a copy.
+// startUpstream starts a peer transport that serves a copy.
 func startUpstream(t *testing.T, name string, offered followedCopy) membership.Member {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -164,9 +159,9 @@
 	return membership.Member{Name: name, Address: address}
 }
 
-// TestUpstreamThatRefusesIsPassedBy: one that does not know the present state, as it has just
-// become an upstream, costs a follower a round trip and no way to the store.
-func TestUpstreamThatRefusesIsPassedBy(t *testing.T) {
+// TestRefusingUpstreamIsSkipped: if an upstream refuses because its copy is not current, the
+// next upstream is asked.
+func TestRefusingUpstreamIsSkipped(t *testing.T) {
 	store := tabletest.NewMemory()
 	put(t, store, "a")
 	stale := followedCopy{replica: &table.Replica{Consumer: discard{}}}
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -13,7 +13,7 @@
 	'if !isBirth {' 'if false && !isBirth {' platform TestEntriesOfOtherWriters
 mutant odd_entry_keeps_its_back_end internal/frontend/consumers.go \
 	'	c.backends.Remove(row.Key)
-' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
+' '' internal/frontend TestInvalidEntryRemovesBackend
 mutant life_kept_over_a_start internal/backend/incarnation.go \
 	'case entry.StartMillis != known.StartMillis:' 'case false:' internal/backend TestRestartClearsState
 mutant late_entry_wins internal/backend/incarnation.go \
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -11,9 +11,9 @@
 	'r.keep(rows, version)
 	r.recent, r.recentAfter = nil, version' 'r.keep(rows, version)' internal/table TestReplicaOfASection
 mutant part_given_as_a_copy internal/frontend/source.go \
-	'if !isOffered || held.replica.Section().IsPart {' 'if !isOffered {' internal/frontend TestPartIsNotToldAsTheWhole
+	'if !isOffered || offered.replica.Section().IsPart {' 'if !isOffered {' internal/frontend TestSectionIsNotServedAsCompleteTable
 mutant section_never_grows internal/frontend/section.go \
-	'isShort := isCrowded ||' 'isShort := false &&' internal/frontend TestMoreBackendsAreSoughtWhenFewAreLeft
+	'isShort := isOverloaded ||' 'isShort := false &&' internal/frontend TestSectionWidensWhenShort
 mutant rare_services_forgotten internal/frontend/section.go \
 	'if usable[service] < p.wantedOf(service) {' 'if usable[service] < 0 {' internal/frontend TestSectionHasEnoughOfEachService
 mutant all_told_directly internal/topology/topology.go \
@@ -25,6 +25,6 @@
 mutant schema_changed internal/quota/messages.go \
 	'"name":"' '"name":"x' internal/command TestSchemasAreThoseOfTheList
 mutant refusing_upstream_not_passed_by internal/frontend/upstream.go \
-	'upstreamTries = 3' 'upstreamTries = 1' internal/frontend TestUpstreamThatRefusesIsPassedBy
+	'upstreamTries = 3' 'upstreamTries = 1' internal/frontend TestRefusingUpstreamIsSkipped
 mutant all_read_all_claims internal/table/follower.go \
 	'f.hasManyPartitions = len(partitions) > fewPartitions' 'f.hasManyPartitions = false' internal/table TestReadOfManyPartitionsWaits
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -5,9 +5,9 @@
 	'if s.isClosed(known, now) {' 'if false {' internal/backend TestEvacuatedZoneGetsNoNewWork
 mutant order_outlives_its_row internal/frontend/evacuation.go \
 	'e.ordered = map[string]string{}
-	e.change' 'e.change' internal/frontend TestOrdersForZones
+	e.change' 'e.change' internal/frontend TestEvacuationOrders
 mutant order_forgotten_at_a_start internal/frontend/consumers.go \
-	'c.evacuations.replace(rows, version)' '_ = version' internal/frontend TestOrdersForZones
+	'c.evacuations.replace(rows, version)' '_ = version' internal/frontend TestEvacuationOrders
 mutant cold_entries_ignored internal/backend/backend.go \
 	'k.coldUntil = now.Add(k.ColdFor)' '_ = now' internal/backend TestColdBackendAllowance
 mutant seats_not_counted internal/backend/admission.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -128,7 +128,7 @@
 	f.Consumer.Change(changes.Rows, changes.Version)
 	f.seen' internal/table TestAgeIsNeverTooShort
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
-	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsAreFreshInCalm
+	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsStayFreshWithoutChanges
 mutant no_look_before_the_first_byte platform/runner.go \
 	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
 mutant promise_unsettled internal/job/accept.go \
@@ -194,7 +194,7 @@
 mutant helper_without_store internal/frontend/peerstore.go \
 	'if !p.isServed() {' 'if false {' internal/frontend TestHelperMakesEveryCall
 mutant stale_upstream internal/frontend/upstream.go \
-	'if age >= upstreamAge {' 'if false {' internal/frontend TestUpstreamWithoutStoreTellsNothing
+	'if age >= upstreamAge {' 'if false {' internal/frontend TestUpstreamWithoutStoreRefuses
 mutant preempted_twice internal/exchange/relay.go \
 	'max(l.loads.inFlight[id].Batch-l.preempted[id], 0)' 'l.loads.inFlight[id].Batch' internal/exchange TestPreemptionsSelectDistinctItems
 mutant no_preemption internal/serving/slotwait.go \
