--- a/internal/httphead/body.go
+++ b/internal/httphead/body.go
@@ -7,13 +7,13 @@
 	"github.com/pkg/errors"
 )
 
-// AnswerBytes is the most that is held of an answer's body: as much as a daemon takes
-// of a request at most by default.
+// AnswerBytes is the maximum size of a buffered answer body. It equals the default maximum size
+// of a request.
 const AnswerBytes = 64 << 20
 
-// LongBodyError tells that a body is longer than what is held of one.
+// LongBodyError reports that a body exceeds the limit.
 type LongBodyError struct {
-	// Limit is the longest body that is held, in bytes.
+	// Limit is the maximum size of the body in bytes.
 	Limit int
 }
 
@@ -22,8 +22,8 @@
 	return "the body is longer than " + strconv.Itoa(e.Limit) + " bytes"
 }
 
-// ReadBody reads a body to its end. One that is longer than the limit is a
-// *LongBodyError: its beginning must not be taken for the whole.
+// ReadBody reads a body to its end. It returns a *LongBodyError, and no truncated body, if the
+// body is longer than limit bytes.
 func ReadBody(source io.Reader, limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(source, int64(limit)+1))
 	if err != nil {
--- a/internal/httphead/check.go
+++ b/internal/httphead/check.go
@@ -8,11 +8,10 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// blanks are the optional white space around a field's value (RFC 9110 section
-// 5.6.3).
+// blanks are the optional whitespace characters around a field value (RFC 9110 section 5.6.3).
 const blanks = " \t"
 
-// CheckMethod reports a method that is no token.
+// CheckMethod returns a *Fault if the method is not a token.
 func CheckMethod(method string) error {
 	if !httpguts.ValidHeaderFieldName(method) {
 		return fault(KindMethod, method)
@@ -20,10 +19,9 @@
 	return nil
 }
 
-// CheckTarget reports a target that is not in origin form: an absolute path and an
-// optional query, without blanks, controls and fragments. The absolute, authority
-// and asterisk forms (RFC 9112 sections 3.2.2 to 3.2.4) name what is not served
-// here, or would have to be rewritten.
+// CheckTarget returns a *Fault if the target is not in origin form: an absolute path and an
+// optional query, without blanks, control characters and fragments. The absolute, authority and
+// asterisk forms (RFC 9112 sections 3.2.2 to 3.2.4) are not supported.
 func CheckTarget(target string) error {
 	if !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, isNotForTargets) {
 		return fault(KindTarget, target)
@@ -36,9 +34,9 @@
 
 func isNotForTargets(char rune) bool { return char <= ' ' || char == 0x7f || char == '#' }
 
-// checkNoTunnel reports a CONNECT to a path. Its target names a host and a port (RFC 9110
-// section 9.3.6), and behind an answer of success every byte belongs to the tunnel: a
-// reader that knows this sees other messages behind it than one that does not.
+// checkNoTunnel returns a *Fault for CONNECT. Its target is a host and a port (RFC 9110 section
+// 9.3.6), and all bytes after a successful answer belong to the tunnel, so that readers could
+// disagree on where the next message starts.
 func checkNoTunnel(method string) error {
 	if method == http.MethodConnect {
 		return fault(KindMethod, method)
@@ -46,7 +44,7 @@
 	return nil
 }
 
-// CheckHost reports a host that cannot be one.
+// CheckHost returns a *Fault if the host is not a valid Host value.
 func CheckHost(host string) error {
 	if !httpguts.ValidHostHeader(host) {
 		return fault(KindHost, host)
@@ -54,8 +52,8 @@
 	return nil
 }
 
-// CheckField reports a field whose name is no token, or whose value would not reach
-// its reader as it is.
+// CheckField returns a *Fault if the field name is not a token, or if the value has control
+// characters, or blanks at its ends.
 func CheckField(name, value string) error {
 	if !httpguts.ValidHeaderFieldName(name) {
 		return fault(KindFieldName, name)
@@ -66,8 +64,7 @@
 	return nil
 }
 
-// isValue reports whether a value has no control characters, and no blanks at its
-// ends.
+// isValue reports whether a value has no control characters and no blanks at its ends.
 func isValue(value string) bool {
 	return httpguts.ValidHeaderFieldValue(value) && strings.Trim(value, blanks) == value
 }
--- a/internal/httphead/httphead_test.go
+++ b/internal/httphead/httphead_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzRequest: whatever words a request is made of, it is either not given out or
-// read by another library as one request with these words and nothing behind it.
+// FuzzRequest: a request of any method, target, host, field and body is either refused by the
+// Writer or parsed by net/http as exactly this request with no bytes after it.
 func FuzzRequest(f *testing.F) {
 	f.Add("POST", "/a?b=c", "host.example", "X-A", "b", []byte("body"))
 	f.Add("GET", "/a HTTP/1.1\r\n\r\nGET /b", "host", "X-A", "b", []byte{})
@@ -29,7 +29,7 @@
 			return
 		}
 		_, err = PeekRequest(bufio.NewReaderSize(bytes.NewReader(message), len(message)))
-		require.NoError(t, err, "what is written is not let in")
+		require.NoError(t, err, "the written request must be accepted")
 		reader := bufio.NewReader(bytes.NewReader(message))
 		read, err := http.ReadRequest(reader)
 		require.NoError(t, err)
@@ -45,7 +45,7 @@
 	})
 }
 
-// FuzzAnswer: the same for answers, those without a body among them.
+// FuzzAnswer: the same for answers, including those without a body.
 func FuzzAnswer(f *testing.F) {
 	f.Add(200, false, "X-A", "b", []byte("body"))
 	f.Add(204, false, "X-A", "b", []byte("HTTP/1.1 200 OK\r\n\r\n"))
@@ -91,9 +91,9 @@
 	require.Empty(t, string(left))
 }
 
-// TestPeekRequestWaitsForTheHeadAlone: bytes of a head that come one at a time are
-// waited for, those behind it are left.
-func TestPeekRequestWaitsForTheHeadAlone(t *testing.T) {
+// TestPeekRequestReadsHeadOnly: PeekRequest waits for a head that arrives byte by byte and does
+// not return bytes after it.
+func TestPeekRequestReadsHeadOnly(t *testing.T) {
 	head := "\r\nPOST /a HTTP/1.1\r\nHost: a\r\n\r\n"
 	piecewise, writer := io.Pipe()
 	go func() {
--- a/internal/httphead/read.go
+++ b/internal/httphead/read.go
@@ -11,15 +11,14 @@
 const (
 	lineEnd = "\r\n"
 	version = "HTTP/1.1"
-	// oldVersion is the only other version in which callers may ask.
+	// oldVersion is the only other version accepted in requests.
 	oldVersion = "HTTP/1.0"
 )
 
-// PeekRequest waits for the whole head of a request and returns its bytes without
-// taking them from the reader, so that a library can read them. An error is a
-// *Fault, with the bytes that came so far, or what the reader says; bufio.ErrBufferFull
-// tells that the head is larger than the reader's buffer. Empty lines before the
-// request line are passed over (RFC 9112 section 2.2).
+// PeekRequest waits for the complete head of a request, checks it and returns its bytes without
+// consuming them from the reader. The error is a *Fault, with the bytes received so far, or the
+// reader's error. It is bufio.ErrBufferFull if the head is larger than the reader's buffer. Empty
+// lines before the request line are skipped (RFC 9112 section 2.2).
 func PeekRequest(reader *bufio.Reader) ([]byte, error) {
 	head, start, err := peekLines(reader)
 	if err != nil {
@@ -28,9 +27,9 @@
 	return head, checkRequest(string(head[start:]))
 }
 
-// peekLines waits for the empty line behind the request line and the fields, and
-// tells where the request line starts. Line ends are checked as they come: a head
-// with other line ends has no end to wait for.
+// peekLines waits for the empty line after the request line and the fields, and returns the
+// offset of the request line. It checks line ends as they arrive, because a head with other line
+// ends may have no such empty line.
 func peekLines(reader *bufio.Reader) (head []byte, start int, err error) {
 	checked := 0
 	for wanted := 1; ; wanted = len(head) + 1 {
@@ -59,7 +58,7 @@
 	}
 }
 
-// checkRequest checks a whole head.
+// checkRequest checks a complete head.
 func checkRequest(head string) error {
 	first, rest, _ := strings.Cut(head, lineEnd)
 	if err := checkRequestLine(first); err != nil {
@@ -77,8 +76,8 @@
 
 func checkRequestLine(line string) error {
 	method, rest, _ := strings.Cut(line, " ")
-	target, spoken, _ := strings.Cut(rest, " ")
-	if spoken != version && spoken != oldVersion {
+	target, used, _ := strings.Cut(rest, " ")
+	if used != version && used != oldVersion {
 		return fault(KindRequestLine, line)
 	}
 	if err := CheckMethod(method); err != nil {
@@ -101,13 +100,13 @@
 	return CheckField(name, strings.Trim(value, blanks))
 }
 
-// FieldOf returns the value of the first field of a name in a head that need not be
-// well formed, for logs.
+// FieldOf returns the truncated value of the first field with a name, for logs. The head need not
+// be well formed.
 func FieldOf(head []byte, name string) string {
 	for line := range bytes.Lines(head) {
 		found, value, _ := bytes.Cut(line, []byte(":"))
 		if strings.EqualFold(string(found), name) {
-			return shown(string(bytes.TrimSpace(value)))
+			return truncate(string(bytes.TrimSpace(value)))
 		}
 	}
 	return ""
--- a/internal/httphead/write.go
+++ b/internal/httphead/write.go
@@ -10,24 +10,24 @@
 	fieldHost     = "Host"
 	fieldLength   = "Content-Length"
 	fieldEncoding = "Transfer-Encoding"
-	// headBytes is room for the head of an ordinary message.
+	// headBytes is the initial capacity for the head of a message.
 	headBytes = 1 << 10
-	// leastFinal and mostFinal bound the statuses of final answers.
-	leastFinal, mostFinal = 200, 599
+	// minFinal and maxFinal bound the statuses of final answers.
+	minFinal, maxFinal = 200, 599
 )
 
-// Writer writes one message. Its head holds only what was checked; the first fault
-// is kept, and a message with a fault is never given out.
+// Writer builds one message and checks each part of its head. It keeps the first fault and then
+// returns that instead of the message.
 type Writer struct {
 	message []byte
 	err     error
-	// isBodyless tells that the message ends with its head whatever its fields say
-	// (RFC 9112 section 6.3).
+	// isBodyless is set if the message ends with its head whatever its fields are (RFC 9112
+	// section 6.3).
 	isBodyless bool
 	isRequest  bool
 }
 
-// NewRequest begins a request; size is that of its body.
+// NewRequest begins a request; size is the expected size of its body in bytes.
 func NewRequest(method, target, host string, size int) *Writer {
 	w := &Writer{message: make([]byte, 0, headBytes+size), isRequest: true}
 	w.note(CheckMethod(method))
@@ -39,11 +39,11 @@
 	return w
 }
 
-// NewAnswer begins a final answer. isToHead tells that it answers a HEAD request,
-// so that it has no body.
+// NewAnswer begins a final answer. isToHead is set if it answers a HEAD request and so has no
+// body.
 func NewAnswer(status int, isToHead bool) *Writer {
 	w := &Writer{message: make([]byte, 0, headBytes)}
-	if status < leastFinal || status > mostFinal {
+	if status < minFinal || status > maxFinal {
 		w.note(fault(KindStatus, strconv.Itoa(status)))
 	}
 	w.isBodyless = isToHead || IsBodyless(status)
@@ -57,8 +57,8 @@
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// Field adds a field. Those that tell where the message ends, and for which host it
-// is, are written by the Writer alone.
+// Field adds a field. Content-Length, Transfer-Encoding and the Host of a request are faults,
+// because the Writer sets them.
 func (w *Writer) Field(name, value string) {
 	w.note(CheckField(name, value))
 	if strings.EqualFold(name, fieldLength) || strings.EqualFold(name, fieldEncoding) || w.isRequest && strings.EqualFold(name, fieldHost) {
@@ -67,8 +67,8 @@
 	w.line(name, ": ", value)
 }
 
-// Whole ends the message with its body. An answer that can have no body is given
-// out without.
+// Whole ends the message with its body and returns it. The body is left out of an answer that
+// can't have one.
 func (w *Writer) Whole(body []byte) ([]byte, error) {
 	head, hasBody, err := w.Length(len(body))
 	if err != nil || !hasBody {
@@ -77,8 +77,8 @@
 	return append(head, body...), nil
 }
 
-// Length ends the head of a message whose body of a known length follows, and
-// reports whether it has a body at all.
+// Length ends the head of a message with a body of known length, which the caller sends, and
+// reports whether the message can have a body.
 func (w *Writer) Length(length int) (head []byte, hasBody bool, err error) {
 	if !w.isBodyless {
 		w.line(fieldLength, ": ", strconv.Itoa(length))
@@ -86,8 +86,8 @@
 	return w.end()
 }
 
-// Chunked ends the head of a message whose body follows in chunks, and reports
-// whether it has a body at all.
+// Chunked ends the head of a message with a chunked body, which the caller sends, and reports
+// whether the message can have a body.
 func (w *Writer) Chunked() (head []byte, hasBody bool, err error) {
 	if !w.isBodyless {
 		w.line(fieldEncoding, ": chunked")
@@ -95,8 +95,8 @@
 	return w.end()
 }
 
-// UntilClose ends the head of a message whose body ends with the connection, for readers
-// that know no chunks, and reports whether it has a body at all.
+// UntilClose ends the head of a message whose body ends with the connection, for readers without
+// support for chunks, and reports whether the message can have a body.
 func (w *Writer) UntilClose() (head []byte, hasBody bool, err error) { return w.end() }
 
 func (w *Writer) end() (head []byte, hasBody bool, err error) {
