--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles one topazpulley daemon from its parts and runs its
-// life: start, ready, planned stop.
+// Package daemon assembles one topazpulley daemon from its parts. Use New, then Start, and Stop
+// for a planned stop or Kill for an immediate one.
 package daemon
 
 import (
@@ -60,12 +60,12 @@
 	listener    net.Listener
 }
 
-// Options vary a daemon for experiments.
+// Options change a daemon's behavior for experiments.
 type Options struct {
 	// Routing is the online routing policy; empty means routing.PolicyFull.
 	Routing routing.Policy
-	// WithoutHints leaves out the hints by which gateways announce online
-	// requests to engines' supervisors.
+	// WithoutHints disables the hints by which gateways announce online requests to the
+	// supervisors of engines.
 	WithoutHints bool
 }
 
@@ -91,7 +91,7 @@
 	limitFleet := ratelimit.NewClusterFleet(d.node, d.transport)
 	limits := ratelimit.New(limitFleet, ratelimit.ToleranceOf(process), telemetry.NewTenants(metrics.Registry), log)
 	limitFleet.Handle(limits)
-	limitFleet.SetRegistered(nil) // seeds and the machine list find the others, if there are any
+	limitFleet.SetRegistered(nil) // other daemons are found by the seeds and the machine list
 	d.gateway = gateway.New(lifetime, gateway.Dependencies{
 		Settings: process, Node: d.node, Transport: d.transport, Registry: d.registry, Holder: d.holder, Log: revision.NewLog(client), Watcher: d.watcher,
 		Platform: client, Engines: engines, Store: store, Coordinator: d.coordinator, Worker: d.worker, Yielder: d.supervisor,
@@ -105,18 +105,18 @@
 	return d
 }
 
-// newQuarantine makes the guard that keeps requests from engines. What it learns is
-// told to all daemons; nothing is stored.
+// newQuarantine creates the quarantine guard. Its evidence is published to all daemons and not
+// stored.
 func (d *Daemon) newQuarantine(metrics *telemetry.Metrics) *quarantine.Guard {
 	policy := quarantine.Policy{Crashes: d.settings.QuarantineCrashes, Time: time.Duration(d.settings.QuarantineTime)}
-	spreader := quarantine.NewClusterPublisher(d.node, nil, d.log)
-	guard := quarantine.NewGuard(policy, spreader, telemetry.NewQuarantine(metrics.Registry), d.log)
-	spreader.Listen(guard)
+	publisher := quarantine.NewClusterPublisher(d.node, nil, d.log)
+	guard := quarantine.NewGuard(policy, publisher, telemetry.NewQuarantine(metrics.Registry), d.log)
+	publisher.Listen(guard)
 	return guard
 }
 
-// member describes this daemon to others. The start time makes its
-// incarnation higher than in any earlier life of the same name.
+// member describes this daemon to others. Its incarnation is the start time in milliseconds, so
+// that it is higher than that of any earlier process of the same name.
 func (d *Daemon) member() membership.Member {
 	return membership.Member{
 		Name: d.settings.Name, Address: d.settings.AdvertiseAddress, HTTPAddress: d.settings.HTTPAddress,
@@ -152,8 +152,8 @@
 	metrics.Gauge("refused_peers", "Datagrams and peer connections without the cluster key since start.", func() float64 { return float64(d.transport.Refused()) })
 }
 
-// Start binds the listeners and starts all duties. The daemon becomes ready
-// when it knows the highest revision.
+// Start binds the listeners and starts all background work. The daemon becomes ready when it has
+// the highest revision.
 func (d *Daemon) Start() error {
 	listener, err := d.listen()
 	if err != nil {
@@ -204,9 +204,9 @@
 	d.log.Info("daemon_ready", "revision", current.Number)
 }
 
-// Stop leaves the fleet without cutting off a request: it reports not ready
-// and leaves the membership, goes on accepting for the linger, releases batch
-// work, waits for running requests and then ends.
+// Stop ends the daemon without interrupting a request. It reports not ready, releases batch work,
+// leaves the membership, accepts requests for the linger time (StopLinger), waits for running
+// requests and then ends.
 func (d *Daemon) Stop() error {
 	d.log.Info("daemon_stopping")
 	d.gateway.SetStopping()
@@ -229,7 +229,7 @@
 	d.worker.Stop(bounded)
 }
 
-// Kill ends the daemon at once: nothing is announced or handed over.
+// Kill ends the daemon at once, without leaving the membership or releasing batch work.
 func (d *Daemon) Kill() error {
 	d.cancel()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -246,5 +246,5 @@
 // Name returns the daemon's name.
 func (d *Daemon) Name() string { return d.settings.Name }
 
-// HTTPAddress returns the address of the callers' listener.
+// HTTPAddress returns the address of the HTTP listener.
 func (d *Daemon) HTTPAddress() string { return d.settings.HTTPAddress }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,7 +25,7 @@
 	"topazpulley/internal/settings"
 )
 
-// writeCertificate makes a self-signed certificate for 127.0.0.1.
+// writeCertificate writes a self-signed certificate for 127.0.0.1.
 func writeCertificate(t *testing.T) (certificateFile, keyFile string) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -51,9 +51,9 @@
 	return listener.Addr().String()
 }
 
-// TestTLSListenerTakesVersion13Only: callers' and operators' calls are
-// encrypted, and older versions are refused.
-func TestTLSListenerTakesVersion13Only(t *testing.T) {
+// TestTLSListenerRequiresVersion13: the listener must use TLS if it has a certificate, and refuse
+// versions before 1.3.
+func TestTLSListenerRequiresVersion13(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -73,8 +73,8 @@
 	certificate, err := os.ReadFile(process.TLSCertificateFile)
 	require.NoError(t, err)
 	require.True(t, pool.AppendCertsFromPEM(certificate))
-	get := func(most uint16) error {
-		transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MaxVersion: most}}
+	get := func(maxVersion uint16) error {
+		transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MaxVersion: maxVersion}}
 		defer transport.CloseIdleConnections()
 		answer, err := (&http.Client{Transport: transport, Timeout: 30 * time.Second}).Get("https://" + process.HTTPAddress + "/healthz")
 		if err != nil {
