--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// AsyncWriter hands lines to a slower writer without ever waiting for it. What
-// does not fit its bounded queue is dropped and counted.
+// AsyncWriter passes lines to a slower writer through a bounded queue and never blocks. Lines that
+// do not fit the queue are dropped and counted.
 type AsyncWriter struct {
 	target  io.Writer
 	limit   int
@@ -19,14 +19,14 @@
 	closed  bool
 }
 
-// NewAsyncWriter starts a writer that holds at most limit bytes.
+// NewAsyncWriter starts a writer that queues at most limit bytes.
 func NewAsyncWriter(target io.Writer, limit int) *AsyncWriter {
 	writer := &AsyncWriter{target: target, limit: limit, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go writer.run()
 	return writer
 }
 
-// Write queues one line. It never fails and never waits.
+// Write queues one line. It never fails and never blocks.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	if w.closed || len(w.pending)+len(line) > w.limit {
@@ -43,10 +43,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer.
+// Close writes the queued lines and ends the writer.
 func (w *AsyncWriter) Close() {
 	w.mutex.Lock()
 	w.closed = true
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -12,24 +12,24 @@
 	"topazpulley/internal/telemetry"
 )
 
-// stuck is a writer that does not return until it is opened.
-type stuck struct {
+// blockedWriter is a writer whose Write blocks until open is closed.
+type blockedWriter struct {
 	open    chan struct{}
 	mutex   sync.Mutex
 	written bytes.Buffer
 }
 
-func (s *stuck) Write(line []byte) (int, error) {
+func (s *blockedWriter) Write(line []byte) (int, error) {
 	<-s.open
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.written.Write(line)
 }
 
-// TestLogNeverWaits: with the output stuck, writing returns, what does not fit
-// is dropped and counted, and the rest comes out in order.
-func TestLogNeverWaits(t *testing.T) {
-	output := &stuck{open: make(chan struct{})}
+// TestAsyncWriterNeverBlocks: while the output blocks, Write returns, and lines that do not fit are
+// dropped and counted. All others are written.
+func TestAsyncWriterNeverBlocks(t *testing.T) {
+	output := &blockedWriter{open: make(chan struct{})}
 	writer := telemetry.NewAsyncWriter(output, 64)
 	for range 100 {
 		count, err := writer.Write([]byte("0123456789abcde\n"))
@@ -42,8 +42,8 @@
 	require.Equal(t, 100, int(writer.Dropped())+bytes.Count(output.written.Bytes(), []byte("\n")))
 }
 
-// TestErrorsAreLoggedWithoutTheirStack: one line for an event.
-func TestErrorsAreLoggedWithoutTheirStack(t *testing.T) {
+// TestErrorsAreLoggedWithoutStack: an event with an error must be one line.
+func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	var output bytes.Buffer
 	telemetry.NewLogger(&output, slog.LevelInfo, "d").Info("event", "error", errors.New("cause"))
 	require.Contains(t, output.String(), "msg=event daemon=d error=cause\n")
--- a/internal/telemetry/backends.go
+++ b/internal/telemetry/backends.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Backends are the metrics of what backends say of themselves.
+// Backends are the metrics of backend listings and load reports.
 type Backends struct {
-	// Listings counts entries of backends that were read, by what they changed: new,
-	// same, reborn or late.
+	// Listings counts backend entries that were read, by their effect (the text of
+	// backend.Listing).
 	Listings *prometheus.CounterVec
-	// Unreadable counts entries that name no backend to use, by kind.
+	// Unreadable counts backend entries that can't be used, by kind.
 	Unreadable *prometheus.CounterVec
-	// ReportFaults counts load reports of which a part or all was refused, by kind.
+	// ReportFaults counts load reports that were refused completely or in part, by kind.
 	ReportFaults *prometheus.CounterVec
-	// Evacuated is 1 for each zone whose backends get no new work.
+	// Evacuated is 1 for each evacuated zone.
 	Evacuated *prometheus.GaugeVec
 }
 
-// NewBackends registers the metrics of what backends say of themselves.
+// NewBackends registers the metrics of backend listings and load reports.
 func NewBackends(registry *prometheus.Registry) *Backends {
 	counter := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, []string{label})
--- a/internal/telemetry/quarantine.go
+++ b/internal/telemetry/quarantine.go
@@ -2,18 +2,19 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Quarantine holds the metrics of requests that end backends.
+// Quarantine has the metrics of requests that crash backends.
 type Quarantine struct {
-	// Evidence counts backends that ended under a request, by where that was
-	// learnt.
+	// Evidence counts requests that ran at a backend when it crashed, by the source of the
+	// evidence.
 	Evidence *prometheus.CounterVec
 	// Quarantined counts requests that were quarantined.
 	Quarantined prometheus.Counter
-	// Refused counts attempts that did not reach a backend, by service.
+	// Refused counts attempts that were not sent because the request is quarantined, by
+	// service.
 	Refused *prometheus.CounterVec
 }
 
-// NewQuarantine registers the metrics of quarantines.
+// NewQuarantine registers the quarantine metrics.
 func NewQuarantine(registry *prometheus.Registry) *Quarantine {
 	made := &Quarantine{
 		Evidence:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "crash_evidence_total", Help: "Requests that were in flight at back ends that ended."}, []string{"source"}),
--- a/internal/telemetry/serving.go
+++ b/internal/telemetry/serving.go
@@ -10,34 +10,33 @@
 	Requests *prometheus.CounterVec
 	// Attempts counts failed attempts by outcome and reason.
 	Attempts *prometheus.CounterVec
-	// Silences counts attempts that stayed silent for longer than learned, by what was done.
+	// Silences counts attempts that exceeded their early response timeout, by service and outcome.
 	Silences *prometheus.CounterVec
-	// FirstOutput observes seconds to the first event or the whole answer.
+	// FirstOutput observes seconds to the first event or the complete answer.
 	FirstOutput *prometheus.HistogramVec
 	// Duration observes seconds to the end of a request.
 	Duration *prometheus.HistogramVec
 	// Items counts ended attempts of batch items by outcome.
 	Items *prometheus.CounterVec
-	// Held counts submissions that came while the store was away, by how that ended.
+	// Held counts submissions that arrived during a store outage, by outcome.
 	Held *prometheus.CounterVec
 	// StoreCalls counts calls to the store by call and outcome.
 	StoreCalls *prometheus.CounterVec
-	// StoreSeconds observes the time of calls to the store.
+	// StoreSeconds observes the duration of calls to the store in seconds.
 	StoreSeconds *prometheus.HistogramVec
-	// Behind counts online requests that were late while they waited for a place and
-	// made way for others, by service.
+	// Behind counts online requests that became overdue while they waited for a slot, and so
+	// let requests on time go first, by service.
 	Behind *prometheus.CounterVec
-	// TurnedAway counts online requests that were refused because those in time needed
-	// all places, by service.
+	// TurnedAway counts online requests that were rejected because requests on time needed
+	// all slots, by service.
 	TurnedAway *prometheus.CounterVec
 	// Malformed counts callers' requests that were refused as malformed, by kind.
 	Malformed *prometheus.CounterVec
-	// SlowCallers counts answers of which the caller left a part unread for a while, by
-	// what became of them.
+	// SlowCallers counts answers that the caller stopped reading for some time, by outcome.
 	SlowCallers *prometheus.CounterVec
-	// MemoryRefusals counts requests that were refused because the daemon held too much.
+	// MemoryRefusals counts requests that were refused because of the memory limit.
 	MemoryRefusals prometheus.Counter
-	// BatchRoom counts decisions on the room for batch items by what bounded it.
+	// BatchRoom counts decisions on the batch capacity, by the bound that applied.
 	BatchRoom *prometheus.CounterVec
 }
 
@@ -72,15 +71,15 @@
 	return serving
 }
 
-// Quota are the metrics of bounds on waiting work.
+// Quota are the metrics of the limits on waiting jobs.
 type Quota struct {
-	// Refusals counts jobs that did not fit, by account.
+	// Refusals counts jobs that were refused because of the limit, by account.
 	Refusals *prometheus.CounterVec
-	// Waiting is the sum of tokens that wait on an account, as last told.
+	// Waiting is the last known sum of waiting tokens of an account.
 	Waiting *prometheus.GaugeVec
 }
 
-// NewQuota registers the metrics of bounds on waiting work.
+// NewQuota registers the metrics of the limits on waiting jobs.
 func NewQuota(registry *prometheus.Registry) *Quota {
 	made := &Quota{
 		Refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "quota_refusals_total", Help: "Jobs refused because too much waits."}, []string{"account"}),
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,5 @@
-// Package telemetry holds the daemon's metrics and its logger.
+// Package telemetry has the daemon's Prometheus metrics and its logger. Each New function registers
+// the metrics of one part of the daemon.
 package telemetry
 
 import (
@@ -10,7 +11,7 @@
 
 // Metrics are the daemon's Prometheus metrics.
 type Metrics struct {
-	// Registry holds all of them.
+	// Registry has all of these metrics.
 	Registry *prometheus.Registry
 	// Requests counts finished requests by service and outcome kind.
 	Requests *prometheus.CounterVec
@@ -18,7 +19,7 @@
 	FirstToken *prometheus.HistogramVec
 	// Retries counts second and later attempts of online requests, by reason.
 	Retries *prometheus.CounterVec
-	// Dropped counts engine answers that carried another attempt's id.
+	// Dropped counts engine answers with the id of another attempt.
 	Dropped prometheus.Counter
 	// Spilled counts requests forwarded to another zone, by that zone.
 	Spilled *prometheus.CounterVec
@@ -26,14 +27,14 @@
 	Malformed *prometheus.CounterVec
 }
 
-// newMalformed makes the counter that both interfaces have.
+// newMalformed returns the counter of malformed requests, which is part of Metrics and of Serving.
 func newMalformed() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "malformed_requests_total", Help: "Callers' requests refused as malformed."}, []string{"kind"})
 }
 
 const namespace = "topazpulley"
 
-// firstTokenBuckets are in seconds, around the goal of 0.42 s.
+// firstTokenBuckets are histogram buckets in seconds; 0.42 s is the objective.
 var firstTokenBuckets = []float64{.01, .025, .05, .1, .2, .3, .42, .6, 1, 2, 5, 15}
 
 // NewMetrics registers the metrics.
@@ -58,13 +59,13 @@
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// NewLogger returns a logger of one key=value line per event.
+// NewLogger returns a logger that writes one line of key=value pairs per event.
 func NewLogger(output io.Writer, level slog.Level, daemon string) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level, ReplaceAttr: withoutStack}
 	return slog.New(slog.NewTextHandler(output, options)).With("daemon", daemon)
 }
 
-// withoutStack logs the text of an error; the handler would add its stack.
+// withoutStack replaces an error by its text, because the handler would log its stack too.
 func withoutStack(_ []string, attribute slog.Attr) slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError {
 		attribute.Value = slog.StringValue(err.Error())
--- a/internal/telemetry/tenants.go
+++ b/internal/telemetry/tenants.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// shownTenants is how many tenants have series of their own: those with the
-	// most requests. All others are summed up under otherTenants.
+	// shownTenants is the number of tenants with series of their own, those with the most
+	// requests. The others are summed under otherTenants.
 	shownTenants = 10
 	otherTenants = "other"
-	// countedTenants bounds the tenants that are counted one by one; later ones
-	// count as others until the next start.
+	// countedTenants is the maximum number of tenants with a count of their own. Further
+	// tenants are counted as others until the daemon restarts.
 	countedTenants = 4096
 	// admittedOutcome and refusedOutcome are the values of the label outcome.
 	admittedOutcome = "admitted"
 	refusedOutcome  = "refused"
 )
 
-// tenantCounts are one tenant's requests since the start.
+// tenantCounts are one tenant's requests since the daemon started.
 type tenantCounts struct {
 	admitted, refused float64
 }
 
-// Tenants counts the requests of tenants with a limit, with a bounded number of
-// series. mutex guards the fields behind it.
+// Tenants counts the requests of tenants with a limit, with a bounded number of series. mutex
+// guards the fields after it.
 type Tenants struct {
 	description *prometheus.Desc
 	decisions   *prometheus.CounterVec
@@ -39,7 +39,7 @@
 
 var _ prometheus.Collector = (*Tenants)(nil)
 
-// NewTenants registers the metrics of limits on tenants.
+// NewTenants registers the metrics of the tenants' rate limits.
 func NewTenants(registry *prometheus.Registry) *Tenants {
 	made := &Tenants{
 		description: prometheus.NewDesc(namespace+"_tenant_requests_total", "Requests of tenants with a limit: the busiest tenants, and the rest.", []string{"tenant", "outcome"}, nil),
@@ -55,10 +55,10 @@
 	return made
 }
 
-// SetGranted tells how much of its parts of limits this daemon grants.
-func (t *Tenants) SetGranted(part float64) { t.granted.Set(part) }
+// SetGranted sets the fraction of its shards of limits that this daemon grants.
+func (t *Tenants) SetGranted(share float64) { t.granted.Set(share) }
 
-// CountDecision counts one request by who decided on it.
+// CountDecision counts one request by the source of the decision.
 func (t *Tenants) CountDecision(source string, isAdmitted bool) {
 	outcome := admittedOutcome
 	if !isAdmitted {
@@ -67,7 +67,7 @@
 	t.decisions.WithLabelValues(source, outcome).Inc()
 }
 
-// Count counts one request.
+// Count counts one request of a tenant.
 func (t *Tenants) Count(name string, isAdmitted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
