--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -8,9 +8,9 @@
 mutant bad_work_voids_the_report platform/answer.go \
 	'return report, !fault.voids()' 'return report, fault == reportWhole' platform TestLoadOfAnAnswer
 mutant odd_entries_listed platform/entry.go \
-	'wire.oddity(key); isOdd {' 'wire.oddity(key); false && isOdd {' platform TestEntriesOfOtherWriters
+	'wire.oddity(key); isOdd {' 'wire.oddity(key); false && isOdd {' platform TestInvalidEntries
 mutant odd_births_believed platform/entry.go \
-	'if !isBirth {' 'if false && !isBirth {' platform TestEntriesOfOtherWriters
+	'if !isBirth {' 'if false && !isBirth {' platform TestInvalidEntries
 mutant odd_entry_keeps_its_back_end internal/frontend/consumers.go \
 	'	c.backends.Remove(row.Key)
 ' '' internal/frontend TestEntryThatTurnsOddTakesItsBackendOut
--- a/test/mutants.d/memory.sh
+++ b/test/mutants.d/memory.sh
@@ -1,11 +1,11 @@
 # Callers who read slowly, and the account of what is held for callers.
 mutant slow_caller_holds_a_place internal/serving/relay.go \
 	'	answer.Detach()
-	lease.Release()' '' platform TestCallersThatReadNothingHoldNoPlace
+	lease.Release()' '' platform TestUnreadAnswerHoldsNoSlot
 mutant slow_caller_waited_for platform/callerwriter.go \
 	'kept := min(len(content), callerBufferBytes-len(w.pending))' 'kept := 0' platform TestWriterDoesNotWaitForItsCaller
 mutant large_requests_not_refused platform/ingress.go \
-	'!c.ingress.memory.HasRoom(max(size, 0))' 'false' platform TestLargeRequestIsRefusedWhereMemoryIsFull
+	'!c.ingress.memory.HasRoom(max(size, 0))' 'false' platform TestLargeRequestRefusedAtMemoryLimit
 mutant deadline_outlives_the_drain platform/callerwriter.go \
 	'_ = w.connection.SetWriteDeadline(time.Time{})' '' platform TestDeadlineEndsWithTheDrain
 mutant no_piece_where_memory_is_full platform/callerwriter.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -138,18 +138,18 @@
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
-	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
+	'current.Version() >= config.Version' 'false' platform TestRoutesFollowConfiguration
 mutant pass_false_promises platform/runner.go \
 	'case promises(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
 mutant no_answer_id platform/runner.go \
 	'if echoed != "" && echoed != a.id {' 'if false {' platform TestWhatMayBeRepeatedGoesElsewhere
 mutant no_caller_watch platform/ingress.go \
 	'	leave()
-}' '}' platform TestCallerThatLeavesStopsTheRun
+}' '}' platform TestCallerDisconnectStopsRequest
 mutant no_framing_check platform/fields.go \
 	'if framings > 1 ||' 'if framings > 2 ||' platform TestBadRequests
 mutant no_instance_check platform/runner.go \
-	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackendGetsNothingNew'
+	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestRequestAndAnswerUnchanged|TestDrainingBackendGetsNoRequests'
 mutant relay_counts_own_work internal/exchange/relay.go \
 	'return total.without(r.members[name].loads)' 'return total' internal/exchange TestRelaySendsLoadsOfOthers
 mutant no_draw internal/routing/cost.go \
@@ -161,7 +161,7 @@
 mutant no_settling internal/job/dispatch.go \
 	'if isStopping || !isSettled ||' 'if isStopping || !isSettled && false ||' internal/job TestItemsWaitUntilOthersWorkIsKnown
 mutant no_shared_versions internal/frontend/frontend.go \
-	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsAreNoticedByWhatOthersSaw
+	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsDetected
 mutant no_total_condition internal/quota/plan.go \
 	'Conditions: []table.Condition{{Table: tableTotal, Key: keyTotal, Version: v.totalVersion}},' 'Conditions: []table.Condition{},' internal/quota 'TestTotalStaysWithinLimit|TestConcurrentReservationsReachLimit'
 mutant foreign_release internal/quota/plan.go \
@@ -210,15 +210,15 @@
 mutant excess_answered_at_every_look internal/job/yielding.go \
 	'answered.left = min(answered.left, excess)' 'answered.left = 0' internal/job TestOwnersGiveWayOnceForOneExcess
 mutant key_passed_on platform/runner.go \
-	'headerTenant, headerKey:' 'headerTenant:' platform TestNoKeyLeavesWithAnAttempt
+	'headerTenant, headerKey:' 'headerTenant:' platform TestAttemptSendsNoKey
 mutant callers_tenant_believed platform/runner.go \
-	'headerReservation, headerTenant, headerKey:' 'headerReservation, headerKey:' platform TestNoKeyLeavesWithAnAttempt
+	'headerReservation, headerTenant, headerKey:' 'headerReservation, headerKey:' platform TestAttemptSendsNoKey
 mutant key_stored platform/fields.go \
-	'name != headerKey && ' '' platform TestNoKeyIsStoredWithAJob
+	'name != headerKey && ' '' platform TestJobStoresNoKey
 mutant no_tenant_on_items internal/job/attempt.go \
-	'Tenant: running.owner.job.Tenant, ' '' platform TestBackendsAreToldTheTenantAndNoKey
+	'Tenant: running.owner.job.Tenant, ' '' platform TestBackendsGetTenantWithoutKey
 mutant jobs_of_all_tenants internal/job/tenant.go \
-	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTheirTenant
+	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTenant
 mutant keys_trusted_for_ever internal/access/access.go \
 	'age < g.RevocationBound-revocationReserve' 'true' internal/access TestUnconfirmedKeysAreRefused
 mutant full_start internal/ratelimit/share.go \
@@ -230,7 +230,7 @@
 mutant old_limit_wins internal/ratelimit/buckets.go \
 	'limit.Config >= entry.limit.Config' 'true' internal/ratelimit TestOlderConfigDoesNotReplaceNewerLimit
 mutant nothing_given_back internal/serving/admit.go \
-	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
+	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestsNotRunCostNoLimit
 mutant silent_link_kept internal/peer/link.go \
 	'if held.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
 mutant every_refusal_promises internal/runrecord/runrecord.go \
@@ -273,7 +273,7 @@
 	'		case !each.hadOutput:' '		case !each.hadOutput && l.attributed[instance] == 0:' internal/quarantine TestTwoCulpritsAtTheSameBackends
 mutant evidence_not_spread internal/quarantine/guard.go \
 	'	g.publish(counted)
-	// Other' '	// Other' platform TestRequestThatEndsBackendsIsStopped
+	// Other' '	// Other' platform TestCrashingRequestQuarantined
 mutant good_end_ignored internal/quarantine/guard.go \
 	'	if isSuspect {' '	if isSuspect && false {' internal/quarantine TestSuccessLiftsQuarantine
 mutant earlier_success_ignored internal/quarantine/guard.go \
@@ -291,7 +291,7 @@
 mutant quarantined_sent internal/serving/guarded.go \
 	'if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {' 'if true {' internal/serving TestGuardedSenderRefusesQuarantined
 mutant every_break_is_a_crash internal/serving/guarded.go \
-	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
+	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
 	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
 mutant silent_store_connections_kept platform/store.go \
@@ -325,7 +325,7 @@
 mutant line_breaks_written internal/httphead/write.go \
 	'	w.note(CheckField(name, value))' '' platform TestAttemptThatIsNoRequestIsNotWritten
 mutant bare_line_feeds_let_in internal/httphead/read.go \
-	'if !bytes.HasSuffix(line, []byte(lineEnd)) {' 'if false {' platform TestMalformedHeadIsRefused
+	'if !bytes.HasSuffix(line, []byte(lineEnd)) {' 'if false {' platform TestMalformedHeadRefused
 mutant items_not_checked platform/jobs.go \
 	'return item, item.Check()' 'return item, nil' platform TestJobCarriesNoSecondRequest
 mutant stored_items_not_checked internal/job/dispatch.go \
@@ -333,9 +333,9 @@
 mutant readers_not_asked internal/job/attempt.go \
 	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackendThatStandsStillReadsNoItemsOfEndedJobs
 mutant hop_fields_passed_on platform/requests.go \
-	' && !options[field]' ' && !options[""]' platform TestProperHeadIsPassedOnAsItCame
+	' && !options[field]' ' && !options[""]' platform TestValidHeadForwardedUnchanged
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
-	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadRequestHasOneAnswer
+	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadAnswerHasNoBody
 mutant file_ids_are_paths internal/gateway/files.go \
 	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
 mutant wanted_end_not_told internal/job/handover.go \
@@ -360,9 +360,9 @@
 mutant void_once_only internal/job/void.go \
 	'		held = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfAJobThatWasEndedEarlyIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
-	'e.logSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
+	'e.logSent(&attempt)' '' platform TestRequestOriginLogged
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
-	'"epoch", epoch, ' '"at", epoch, ' platform TestOriginOfAnItemIsInTheLog
+	'"epoch", epoch, ' '"at", epoch, ' platform TestItemOriginLogged
 mutant beginning_taken_for_whole internal/httphead/body.go \
 	'len(body) > limit' 'false' platform TestLongAnswerIsNotCut
 mutant chunks_for_old_callers platform/ingress.go \
