--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -1,12 +1,12 @@
 # What back ends say of themselves: load reports, entries, lives.
 mutant fourth_figure_voids_the_report platform/load.go \
-	'if len(parts) < loadFields {' 'if len(parts) != loadFields {' platform TestLoadReports
+	'if len(parts) < loadFields {' 'if len(parts) != loadFields {' platform TestParseLoad
 mutant absurd_figures_believed platform/load.go \
-	'if number < 0 || number > mostRequests {' 'if false {' platform TestLoadReports
+	'if number < 0 || number > mostRequests {' 'if false {' platform TestParseLoad
 mutant absurd_work_believed platform/load.go \
-	'case percent <= 0 || percent > mostWorkPercent:' 'case false:' platform TestLoadReports
+	'case percent <= 0 || percent > mostWorkPercent:' 'case false:' platform TestParseLoad
 mutant bad_work_voids_the_report platform/answer.go \
-	'return report, !fault.voids()' 'return report, fault == reportWhole' platform TestLoadOfAnAnswer
+	'return report, !fault.voids()' 'return report, fault == reportWhole' platform TestAnswerLoad
 mutant odd_entries_listed platform/entry.go \
 	'wire.oddity(key); isOdd {' 'wire.oddity(key); false && isOdd {' platform TestInvalidEntries
 mutant odd_births_believed platform/entry.go \
@@ -38,4 +38,4 @@
 mutant later_life_confirms_no_end internal/serving/guarded.go \
 	' || s.backends.HasSuccessor(incarnation)' '' internal/serving TestCrashesOfOneBackendCountPerIncarnation
 mutant connections_by_id platform/pool.go \
-	'endpoint{life: instance.Incarnation(), ' 'endpoint{life: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsToTheLifeBeforeAreNotUsed
+	'endpoint{life: instance.Incarnation(), ' 'endpoint{life: backend.Incarnation{ID: instance.ID}, ' platform TestConnectionsOfEarlierIncarnationUnused
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -130,7 +130,7 @@
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
 	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsAreFreshInCalm
 mutant no_look_before_the_first_byte platform/runner.go \
-	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
+	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptWithoutPermitNotSent
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNeverPromisedNotRun
 mutant no_checkpoint internal/job/owned.go \
@@ -140,9 +140,9 @@
 mutant no_configuration_rise internal/route/table.go \
 	'current.Version() >= config.Version' 'false' platform TestRoutesFollowConfiguration
 mutant pass_false_promises platform/runner.go \
-	'case promises(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
+	'case promises(status):' 'case false:' platform TestUnsafeRequestNotReportedNotRun
 mutant no_answer_id platform/runner.go \
-	'if echoed != "" && echoed != a.id {' 'if false {' platform TestWhatMayBeRepeatedGoesElsewhere
+	'if echoed != "" && echoed != a.id {' 'if false {' platform TestSafeRequestRetriedAtAnotherBackend
 mutant no_caller_watch platform/ingress.go \
 	'	leave()
 }' '}' platform TestCallerDisconnectStopsRequest
@@ -180,7 +180,7 @@
 	'e.excluded[e.last.ID] = true
 			continue' 'continue' internal/serving TestRequestSentWhereReserved
 mutant place_not_sent platform/runner.go \
-	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
+	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsReserveSlotFirst
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isOverloaded && known.batch > 0 {' 'if false {' internal/backend TestOverloadSignal
 mutant items_queue internal/job/pacing.go \
@@ -252,7 +252,7 @@
 mutant unsent_taken_for_silent internal/serving/exchange.go \
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant stray_refusal_believed platform/runner.go \
-	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
+	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIgnored
 mutant pursued_end_promised internal/job/ending.go \
 	'return endUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledEndIsNeverPromisedNotDone
 mutant unsettled_end_promised internal/job/ending.go \
@@ -321,17 +321,17 @@
 mutant alone_as_if_few_were internal/ratelimit/share.go \
 	'isolatedShare = 1.0' 'isolatedShare = 0.25' internal/ratelimit TestSharesStayWithinTolerance
 mutant rested_over_a_sleep platform/pool.go \
-	'p.clock.Now() < last.usedUntil' 'last.usedUntil > 0' platform TestConnectionsThatRestedOverASleepAreNotUsed
+	'p.clock.Now() < last.usedUntil' 'last.usedUntil > 0' platform TestConnectionsIdleOverSuspendUnused
 mutant line_breaks_written internal/httphead/write.go \
-	'	w.note(CheckField(name, value))' '' platform TestAttemptThatIsNoRequestIsNotWritten
+	'	w.note(CheckField(name, value))' '' platform TestInvalidAttemptNotSent
 mutant bare_line_feeds_let_in internal/httphead/read.go \
 	'if !bytes.HasSuffix(line, []byte(lineEnd)) {' 'if false {' platform TestMalformedHeadRefused
 mutant items_not_checked platform/jobs.go \
-	'return item, item.Check()' 'return item, nil' platform TestJobCarriesNoSecondRequest
+	'return item, item.Check()' 'return item, nil' platform TestJobWithLineBreaksRefused
 mutant stored_items_not_checked internal/job/dispatch.go \
 	'	if waiting.malformed != nil {' '	if false {' internal/job TestStoredItemThatIsNoRequestIsGivenUp/path
 mutant readers_not_asked internal/job/attempt.go \
-	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackendThatStandsStillReadsNoItemsOfEndedJobs
+	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestStalledBackendGetsNoCanceledItems
 mutant hop_fields_passed_on platform/requests.go \
 	' && !options[field]' ' && !options[""]' platform TestValidHeadForwardedUnchanged
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
@@ -364,9 +364,9 @@
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
 	'"epoch", epoch, ' '"at", epoch, ' platform TestItemOriginLogged
 mutant beginning_taken_for_whole internal/httphead/body.go \
-	'len(body) > limit' 'false' platform TestLongAnswerIsNotCut
+	'len(body) > limit' 'false' platform TestTooLongAnswerFails
 mutant chunks_for_old_callers platform/ingress.go \
-	'respond.isOld = !c.header.Header.IsHTTP11()' 'respond.isOld = false' platform TestOldCallersGetNoChunks
+	'respond.isOld = !c.header.Header.IsHTTP11()' 'respond.isOld = false' platform TestHTTP10CallerGetsNoChunks
 mutant cut_forward_looks_whole internal/gateway/stream.go \
 	'resetConnection(connection)' '' internal/gateway TestForwardedAnswerThatBreaksOffIsNotWhole
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
