--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -130,7 +130,7 @@
 mutant claims_held_as_long_as_others internal/frontend/frontend.go \
 	'RelayWait: claimRelayWait, ' '' internal/frontend TestClaimsStayFreshWithoutChanges
 mutant no_look_before_the_first_byte platform/sender.go \
-	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptThatMayNotLeaveIsNotWritten
+	'if err := attempt.CheckSendable(ctx); err != nil {' 'if err := error(nil); err != nil {' platform TestAttemptWithoutPermitNotSent
 mutant promise_unsettled internal/job/accept.go \
 	'isUnsettled = isUnsettled || isUnknown(err)' '' internal/job TestUnsettledAcceptanceIsNotReportedNotRun
 mutant no_checkpoint internal/job/ownedjob.go \
@@ -138,18 +138,18 @@
 mutant no_stale_check internal/table/monotonic.go \
 	'page.Version < atLeast' 'page.Version < atLeast-atLeast' internal/table TestStaleReadIsRefused
 mutant no_configuration_rise internal/route/table.go \
-	'current.Version() >= config.Version' 'false' platform TestRoutesFollowTheConfiguration
+	'current.Version() >= config.Version' 'false' platform TestRoutesFollowConfiguration
 mutant pass_false_promises platform/sender.go \
-	'case promisesNotRun(status):' 'case false:' platform TestWhatRunsOnceIsNeverPromisedNotRun
+	'case promisesNotRun(status):' 'case false:' platform TestUnsafeRequestNotReportedNotRun
 mutant no_answer_id platform/sender.go \
-	'if echoed != "" && echoed != a.id {' 'if false {' platform TestWhatMayBeRepeatedGoesElsewhere
+	'if echoed != "" && echoed != a.id {' 'if false {' platform TestSafeRequestRetriedAtAnotherBackend
 mutant no_caller_watch platform/ingress.go \
 	'	leave()
-}' '}' platform TestCallerThatLeavesStopsTheRun
+}' '}' platform TestCallerDisconnectStopsRequest
 mutant no_framing_check platform/fields.go \
 	'if framings > 1 ||' 'if framings > 2 ||' platform TestBadRequests
 mutant no_instance_check platform/sender.go \
-	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestAnswersPassUnchanged|TestLeavingBackendGetsNothingNew'
+	'request.Field(headerInstance, attempt.Instance.ID)' '' platform 'TestRequestAndAnswerUnchanged|TestDrainingBackendGetsNoRequests'
 mutant relay_counts_own_work internal/exchange/relay.go \
 	'return total.without(r.members[name].loads)' 'return total' internal/exchange TestRelaySendsLoadsOfOthers
 mutant no_draw internal/routing/cost.go \
@@ -161,7 +161,7 @@
 mutant no_settling internal/job/dispatch.go \
 	'if isStopping || !isSettled ||' 'if isStopping || !isSettled && false ||' internal/job TestItemsWaitForPeerLoads
 mutant no_shared_versions internal/frontend/frontend.go \
-	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsAreNoticedByWhatOthersSaw
+	'store.Raise(table.Version(event.Revision))' '' platform TestStaleReadsDetected
 mutant no_total_condition internal/quota/plan.go \
 	'Conditions: []table.Condition{{Table: tableTotal, Key: keyTotal, Version: v.totalVersion}},' 'Conditions: []table.Condition{},' internal/quota 'TestTotalStaysWithinLimit|TestConcurrentReservationsReachLimit'
 mutant foreign_release internal/quota/plan.go \
@@ -180,7 +180,7 @@
 	'e.excluded[e.last.ID] = true
 			continue' 'continue' internal/serving TestRequestSentWhereReserved
 mutant place_not_sent platform/sender.go \
-	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsTakeAPlaceFirst
+	'request.Field(headerReservation, attempt.Reservation)' '' platform TestStreamsReserveSlotFirst
 mutant no_crowded_signal internal/backend/lease.go \
 	'if isOverloaded && known.batch > 0 {' 'if false {' internal/backend TestOverloadSignal
 mutant items_queue internal/job/placement.go \
@@ -210,15 +210,15 @@
 mutant excess_answered_at_every_look internal/job/preemption.go \
 	'handled.remaining = min(handled.remaining, excess)' 'handled.remaining = 0' internal/job TestOwnersAnswerExcessOnce
 mutant key_passed_on platform/sender.go \
-	'headerTenant, headerKey:' 'headerTenant:' platform TestNoKeyLeavesWithAnAttempt
+	'headerTenant, headerKey:' 'headerTenant:' platform TestAttemptSendsNoKey
 mutant callers_tenant_believed platform/sender.go \
-	'headerReservation, headerTenant, headerKey:' 'headerReservation, headerKey:' platform TestNoKeyLeavesWithAnAttempt
+	'headerReservation, headerTenant, headerKey:' 'headerReservation, headerKey:' platform TestAttemptSendsNoKey
 mutant key_stored platform/fields.go \
-	'name != headerKey && ' '' platform TestNoKeyIsStoredWithAJob
+	'name != headerKey && ' '' platform TestJobStoresNoKey
 mutant no_tenant_on_items internal/job/attempt.go \
-	'Tenant: running.owner.job.Tenant, ' '' platform TestBackendsAreToldTheTenantAndNoKey
+	'Tenant: running.owner.job.Tenant, ' '' platform TestBackendsGetTenantWithoutKey
 mutant jobs_of_all_tenants internal/job/tenant.go \
-	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTheirTenant
+	'owner == "" || owner == caller' 'true' platform TestJobsBelongToTenant
 mutant keys_trusted_for_ever internal/access/access.go \
 	'age < g.RevocationBound-revocationReserve' 'true' internal/access TestUnconfirmedKeysAreRefused
 mutant full_start internal/ratelimit/share.go \
@@ -230,7 +230,7 @@
 mutant old_limit_wins internal/ratelimit/buckets.go \
 	'limit.Config >= entry.limit.Config' 'true' internal/ratelimit TestOlderConfigDoesNotReplaceNewerLimit
 mutant nothing_given_back internal/serving/admit.go \
-	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestThatNeverRanCostsNoLimit
+	'		e.core.Limits.Return(e.admission, e.request.Tenant.Name, e.limit())' '' platform TestRequestsNotRunCostNoLimit
 mutant silent_link_kept internal/peer/link.go \
 	'if peerLink.isSilent(time.Now()) {' 'if false {' internal/peer TestSilentLinkIsReplaced
 mutant every_refusal_promises internal/runrecord/runrecord.go \
@@ -252,7 +252,7 @@
 mutant unsent_taken_for_silent internal/serving/exchange.go \
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant stray_refusal_believed platform/sender.go \
-	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIsNoPromise
+	'echoed == "" && a.connection.isReused && isRefusal(&a.header)' 'false' platform TestStrayRefusalIgnored
 mutant pursued_end_promised internal/job/cancel.go \
 	'return cancelUnknown(ctx.Err())' 'return unavailable(ctx.Err())' internal/job TestUnsettledCancelIsNotReportedNotDone
 mutant unsettled_end_promised internal/job/cancel.go \
@@ -273,7 +273,7 @@
 	'		case !each.hadOutput:' '		case !each.hadOutput && l.attributed[instance] == 0:' internal/quarantine TestTwoCulpritsAtTheSameBackends
 mutant evidence_not_spread internal/quarantine/guard.go \
 	'	g.publish(counted)
-	// Other' '	// Other' platform TestRequestThatEndsBackendsIsStopped
+	// Other' '	// Other' platform TestCrashingRequestQuarantined
 mutant good_end_ignored internal/quarantine/guard.go \
 	'	if isSuspect {' '	if isSuspect && false {' internal/quarantine TestSuccessLiftsQuarantine
 mutant earlier_success_ignored internal/quarantine/guard.go \
@@ -291,7 +291,7 @@
 mutant quarantined_sent internal/serving/guarded.go \
 	'if _, isQuarantined := s.guard.Verdict(attempt.Fingerprint); !isQuarantined {' 'if true {' internal/serving TestGuardedSenderRefusesQuarantined
 mutant every_break_is_a_crash internal/serving/guarded.go \
-	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
+	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
 	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestCrashingRequestIsQuarantined
 mutant silent_store_connections_kept platform/store.go \
@@ -321,21 +321,21 @@
 mutant alone_as_if_few_were internal/ratelimit/share.go \
 	'isolatedShare = 1.0' 'isolatedShare = 0.25' internal/ratelimit TestSharesStayWithinTolerance
 mutant rested_over_a_sleep platform/pool.go \
-	'p.clock.Now() < last.usedUntil' 'last.usedUntil > 0' platform TestConnectionsThatRestedOverASleepAreNotUsed
+	'p.clock.Now() < last.usedUntil' 'last.usedUntil > 0' platform TestConnectionsIdleOverSuspendUnused
 mutant line_breaks_written internal/httphead/write.go \
-	'	w.note(CheckField(name, value))' '' platform TestAttemptThatIsNoRequestIsNotWritten
+	'	w.note(CheckField(name, value))' '' platform TestInvalidAttemptNotSent
 mutant bare_line_feeds_let_in internal/httphead/read.go \
-	'if !bytes.HasSuffix(line, []byte(lineEnd)) {' 'if false {' platform TestMalformedHeadIsRefused
+	'if !bytes.HasSuffix(line, []byte(lineEnd)) {' 'if false {' platform TestMalformedHeadRefused
 mutant items_not_checked platform/jobs.go \
-	'return item, item.Check()' 'return item, nil' platform TestJobCarriesNoSecondRequest
+	'return item, item.Check()' 'return item, nil' platform TestJobWithLineBreaksRefused
 mutant stored_items_not_checked internal/job/dispatch.go \
 	'	if waiting.malformed != nil {' '	if false {' internal/job TestMalformedStoredItemIsAbandoned/path
 mutant readers_not_asked internal/job/attempt.go \
-	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestBackendThatStandsStillReadsNoItemsOfEndedJobs
+	'&attempt, max(tokens, 1))' '&attempt, 0)' platform TestStalledBackendGetsNoCanceledItems
 mutant hop_fields_passed_on platform/requests.go \
-	' && !options[field]' ' && !options[""]' platform TestProperHeadIsPassedOnAsItCame
+	' && !options[field]' ' && !options[""]' platform TestValidHeadForwardedUnchanged
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
-	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadRequestHasOneAnswer
+	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadAnswerHasNoBody
 mutant file_ids_are_paths internal/gateway/files.go \
 	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
 mutant wanted_end_not_told internal/job/cancelrequest.go \
@@ -360,13 +360,13 @@
 mutant void_once_only internal/job/voidrow.go \
 	'		existing = conflict.Row(tableVoid, id)' '		return err' internal/job TestReservationOfEarlyCanceledJobIsSwept
 mutant origin_of_requests_not_logged internal/serving/exchange.go \
-	'e.logSent(&attempt)' '' platform TestOriginOfARequestIsInTheLog
+	'e.logSent(&attempt)' '' platform TestRequestOriginLogged
 mutant epoch_of_items_not_logged internal/job/dispatch.go \
-	'"epoch", epoch, ' '"at", epoch, ' platform TestOriginOfAnItemIsInTheLog
+	'"epoch", epoch, ' '"at", epoch, ' platform TestItemOriginLogged
 mutant beginning_taken_for_whole internal/httphead/body.go \
-	'len(body) > limit' 'false' platform TestLongAnswerIsNotCut
+	'len(body) > limit' 'false' platform TestTooLongAnswerFails
 mutant chunks_for_old_callers platform/ingress.go \
-	'respond.isHTTP10 = !c.header.Header.IsHTTP11()' 'respond.isHTTP10 = false' platform TestOldCallersGetNoChunks
+	'respond.isHTTP10 = !c.header.Header.IsHTTP11()' 'respond.isHTTP10 = false' platform TestHTTP10CallerGetsNoChunks
 mutant cut_forward_looks_whole internal/gateway/stream.go \
 	'resetConnection(connection)' '' internal/gateway TestTruncatedForwardedAnswerIsIncomplete
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
