--- a/internal/engine/cancel.go
+++ b/internal/engine/cancel.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// cancelTries bounds how often an engine is told to stop an attempt: with its pauses
-	// (0.2 s, then twice as long each) and controlTimeout that is 13 s at most, in which
-	// a connection that fell silent or was reset is replaced. An attempt that goes on
-	// after that ends by its own limit of tokens.
+	// cancelTries is how often a cancellation is sent until the engine answers. With
+	// controlTimeout and the pauses in between this takes 13 s at most.
 	cancelTries = 5
+	// cancelPause is the pause after the first try; it doubles with each further try.
 	cancelPause = 200 * time.Millisecond
 )
 
-// Cancel tells the engine to stop an attempt, again while it does not answer: an attempt
-// that is not stopped takes a place to its end, for nobody. It reports whether the engine
-// stopped it; one that has ended, or answers otherwise, has nothing to stop.
+// Cancel asks the engine to stop an attempt and retries while the engine does not answer:
+// an attempt that is not stopped uses a slot until it ends. It reports whether the engine
+// stopped the attempt; false means that the attempt had ended or no answer arrived.
 func (c *Client) Cancel(address, attemptID string) bool {
 	pause := cancelPause
 	for try := range cancelTries {
--- a/internal/engine/cancel_test.go
+++ b/internal/engine/cancel_test.go
@@ -12,17 +12,17 @@
 	"topazpulley/internal/engine"
 )
 
-// TestCancellationIsPursued: a cancellation that got no answer was given up, and the
-// engine ran the request to its end for nobody.
-func TestCancellationIsPursued(t *testing.T) {
-	var asked atomic.Int32
+// TestUnansweredCancellationIsRetried: without a retry the engine would run the
+// abandoned request to its end.
+func TestUnansweredCancellationIsRetried(t *testing.T) {
+	var calls atomic.Int32
 	cancelled := make(chan string, 8)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		_ = fasthttp.Serve(listener, func(call *fasthttp.RequestCtx) {
-			if asked.Add(1) <= 2 {
+			if calls.Add(1) <= 2 {
 				call.HijackSetNoResponse(true)
 				call.Hijack(func(net.Conn) {})
 				return
@@ -33,24 +33,24 @@
 	require.True(t, engine.NewClient(time.Second).Cancel(listener.Addr().String(), "mine"))
 	require.Equal(t, "DELETE "+engine.PathAttempts+"mine", <-cancelled)
 	require.Empty(t, cancelled)
-	require.EqualValues(t, 3, asked.Load())
+	require.EqualValues(t, 3, calls.Load())
 }
 
-// TestCancellationOfWhatIsGoneEnds: an engine that does not know the attempt has
-// answered, and one that has ended has nothing to stop.
-func TestCancellationOfWhatIsGoneEnds(t *testing.T) {
-	var asked atomic.Int32
+// TestCancellationOfEndedAttemptFails: Cancel returns false, without a retry, if the
+// engine does not know the attempt, and false if the engine has exited.
+func TestCancellationOfEndedAttemptFails(t *testing.T) {
+	var calls atomic.Int32
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
 		_ = fasthttp.Serve(listener, func(call *fasthttp.RequestCtx) {
-			asked.Add(1)
+			calls.Add(1)
 			call.SetStatusCode(fasthttp.StatusNotFound)
 		})
 	}()
 	address := listener.Addr().String()
 	require.False(t, engine.NewClient(time.Second).Cancel(address, "mine"))
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, calls.Load())
 	require.NoError(t, listener.Close())
 	require.False(t, engine.NewClient(time.Second).Cancel(address, "mine"))
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -16,22 +16,22 @@
 	"topazpulley/internal/quarantine"
 )
 
-// Outcome says what is known of an attempt that did not answer whole.
+// Outcome is what is known about an attempt that did not complete.
 type Outcome int
 
 // The outcomes of a failed attempt.
 const (
-	// OutcomeNotRun promises that the engine did not start the work: no byte
-	// went out or the engine refused. The work may be sent anywhere.
+	// OutcomeNotRun means that the engine did not start the work: no byte was
+	// sent or the engine refused it. The work may be sent to any engine.
 	OutcomeNotRun Outcome = iota + 1
-	// OutcomeUnknown means that the work was sent and its end is not known.
+	// OutcomeUnknown means that the work was sent and its result is not known.
 	OutcomeUnknown
-	// OutcomeInvalid means that the engine rejected the request as wrong;
-	// it did not run and will not run elsewhere.
+	// OutcomeInvalid means that the request is invalid: it did not run and
+	// every other engine would reject it too.
 	OutcomeInvalid
 )
 
-// String returns the name that logs carry.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeNotRun:
@@ -59,8 +59,8 @@
 	CodeIncomplete = "incomplete_answer"
 	CodeAbandoned  = "abandoned"
 	CodeForgotten  = "attempt_forgotten"
-	// CodeQuarantined tells that engines have ended under the request, so that no
-	// further one is sent it.
+	// CodeQuarantined means that the request has crashed engines and is not sent
+	// again.
 	CodeQuarantined = "quarantined"
 )
 
@@ -75,8 +75,8 @@
 // Unwrap returns the cause, or nil.
 func (e *AttemptError) Unwrap() error { return e.cause }
 
-// OutcomeOf returns the outcome that an error of this package stands for;
-// any other error leaves the outcome unknown.
+// OutcomeOf returns the outcome of an AttemptError, and OutcomeUnknown for any
+// other error.
 func OutcomeOf(err error) Outcome {
 	var attempt *AttemptError
 	if errors.As(err, &attempt) {
@@ -94,7 +94,7 @@
 	return ""
 }
 
-// dialError marks failures before any byte was sent.
+// dialError is a failure to connect: no byte was sent.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return e.cause.Error() }
@@ -113,9 +113,9 @@
 // Client calls engines over HTTP.
 type Client struct {
 	http *fasthttp.Client
-	// StallTimeout bounds the time between two events of a stream.
+	// StallTimeout is the longest time between two events of a stream.
 	StallTimeout time.Duration
-	// Quarantine tells which requests are not sent to engines; nil means that all are.
+	// Quarantine decides which requests are not sent to engines; if nil, all are sent.
 	Quarantine *quarantine.Guard
 }
 
@@ -164,7 +164,7 @@
 
 // Generate sends the request and returns its stream.
 func (c *Client) Generate(ctx context.Context, address string, request GenerateRequest) (*Stream, error) {
-	if err := c.refuseQuarantined(request.Fingerprint); err != nil {
+	if err := c.checkQuarantine(request.Fingerprint); err != nil {
 		return nil, err
 	}
 	body, err := json.Marshal(request)
@@ -173,7 +173,7 @@
 	}
 	stream, err := c.open(ctx, address, request.AttemptID, len(request.Continue), fasthttp.MethodPost, PathGenerate, body)
 	if err != nil {
-		c.noteBroken(ctx, address, request.Fingerprint, err, false)
+		c.recordCrash(ctx, address, request.Fingerprint, err, false)
 		c.cancelAbandoned(address, request, err)
 		return nil, err
 	}
@@ -181,7 +181,8 @@
 	return stream, nil
 }
 
-// Resume attaches to an attempt that the engine holds, from a token index on.
+// Resume reads the events of an attempt that the engine keeps, starting at the
+// token index from.
 func (c *Client) Resume(ctx context.Context, address, attemptID string, from int) (*Stream, error) {
 	path := PathAttempts + attemptID + "?from=" + strconv.Itoa(from)
 	return c.open(ctx, address, attemptID, from, fasthttp.MethodGet, path, nil)
@@ -222,8 +223,7 @@
 	case RefusalDraining, RefusalLoading, RefusalFull, RefusalNoModel, RefusalStaleFence:
 		return &AttemptError{Outcome: OutcomeNotRun, Code: refusal.Code}
 	}
-	// A code that this protocol does not know promises nothing: an engine may have
-	// begun and failed.
+	// With an unknown code the engine may have started the work.
 	return &AttemptError{Outcome: OutcomeUnknown, Code: refusal.Code}
 }
 
@@ -234,8 +234,8 @@
 	s.readError = DecodeEvents(response.BodyStream(), func(event Event) { s.events <- event })
 }
 
-// DecodeEvents reads server-sent events until the input ends. It returns nil
-// at a clean end of input.
+// DecodeEvents reads server-sent events and passes each to deliver. It returns
+// nil at the end of the input.
 func DecodeEvents(input io.Reader, deliver func(Event)) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventLineBytes)
@@ -253,8 +253,8 @@
 	return errors.WithStack(scanner.Err())
 }
 
-// Next returns the next event. The event with End set is the last one; an
-// answer without it, with another attempt's id or with a gap is an error.
+// Next returns the next event. The last event has End set. An answer without it,
+// with another attempt's id or with a missing token is an error.
 func (s *Stream) Next(ctx context.Context) (Event, error) {
 	stall := time.NewTimer(s.client.StallTimeout)
 	defer stall.Stop()
@@ -263,7 +263,7 @@
 		if !open {
 			s.finished = true
 			err := &AttemptError{Outcome: OutcomeUnknown, Code: CodeIncomplete, cause: s.readError}
-			s.client.noteBroken(ctx, s.address, s.fingerprint, err, s.hadOutput)
+			s.client.recordCrash(ctx, s.address, s.fingerprint, err, s.hadOutput)
 			return Event{}, err
 		}
 		return s.check(event)
@@ -283,7 +283,7 @@
 		if event.Count != s.next {
 			return Event{}, &AttemptError{Outcome: OutcomeUnknown, Code: CodeIncomplete}
 		}
-		s.client.noteSucceeded(s.fingerprint, event)
+		s.client.recordSuccess(s.fingerprint, event)
 		return event, nil
 	}
 	if event.Index != s.next {
@@ -303,18 +303,17 @@
 	go drain(s.events)
 }
 
-// Detach ends the stream and leaves the attempt running, to be resumed.
+// Detach ends the stream but not the attempt, which may be resumed.
 func (s *Stream) Detach() { go drain(s.events) }
 
-// drain lets the reader run to the end of its input, so that the connection
-// is clean again before it is reused.
+// drain reads the remaining events, so that the connection can be reused.
 func drain(events <-chan Event) {
 	for range events {
 		continue
 	}
 }
 
-// Load reads the engine's load report.
+// Load returns the engine's load report.
 func (c *Client) Load(address string, timeout time.Duration) (LoadReport, error) {
 	report := LoadReport{}
 	_, body, err := c.control(address, fasthttp.MethodGet, PathLoad, nil, time.Now().Add(timeout))
@@ -327,8 +326,8 @@
 	return report, nil
 }
 
-// Order sends a fenced order. A stale fence is an AttemptError with
-// RefusalStaleFence.
+// Order sends an order. If its fence is stale, the error is an AttemptError
+// with code RefusalStaleFence.
 func (c *Client) Order(address string, order Order) error {
 	encoded, err := json.Marshal(order)
 	if err != nil {
@@ -374,12 +373,12 @@
 	Method    string
 	Path      string
 	Body      []byte
-	// Fingerprint identifies the call's content whatever its attempt.
+	// Fingerprint identifies the call's content; it is the same for each attempt.
 	Fingerprint quarantine.Fingerprint
 }
 
-// check reports a call whose words would reach the engine as others. An error is a
-// *httphead.Fault.
+// check returns an error if the method or path cannot be sent unchanged in a
+// header. The error is a *httphead.Fault.
 func (c *CallRequest) check() error {
 	if err := httphead.CheckMethod(c.Method); err != nil {
 		return err
@@ -393,17 +392,18 @@
 	Body        []byte
 }
 
-// Call sends a request to a plain service. The answer must echo the attempt.
+// Call sends a request to a plain service. An answer with another attempt id is
+// an error.
 func (c *Client) Call(ctx context.Context, address string, call CallRequest) (CallAnswer, error) {
-	if err := c.refuseQuarantined(call.Fingerprint); err != nil {
+	if err := c.checkQuarantine(call.Fingerprint); err != nil {
 		return CallAnswer{}, err
 	}
 	answer, err := c.callOnce(ctx, address, call)
 	if err != nil {
-		c.noteBroken(ctx, address, call.Fingerprint, err, false)
+		c.recordCrash(ctx, address, call.Fingerprint, err, false)
 		return answer, err
 	}
-	c.noteSucceeded(call.Fingerprint, Event{})
+	c.recordSuccess(call.Fingerprint, Event{})
 	return answer, nil
 }
 
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -38,7 +38,7 @@
 	return listener.Addr().String()
 }
 
-// readAll reads a generation to its end or its first error.
+// readAll reads a generation to its end and returns the first error.
 func readAll(t *testing.T, address string) error {
 	client := engine.NewClient(30 * time.Second)
 	stream, err := client.Generate(t.Context(), address, engine.GenerateRequest{AttemptID: "mine"})
@@ -52,17 +52,19 @@
 	}
 }
 
-func TestAnswerWithoutItsCountIsNotWhole(t *testing.T) {
+// TestIncompleteAnswerIsRejected: an answer with missing tokens, without its end marker
+// or with another attempt's id must not pass as complete.
+func TestIncompleteAnswerIsRejected(t *testing.T) {
 	token := engine.Event{AttemptID: "mine", Index: 0, Token: "a"}
 	cases := map[string]struct {
 		events []engine.Event
 		code   string
 	}{
-		"whole":         {[]engine.Event{token, {AttemptID: "mine", End: true, Count: 1}}, ""},
+		"complete":      {[]engine.Event{token, {AttemptID: "mine", End: true, Count: 1}}, ""},
 		"wrong count":   {[]engine.Event{token, {AttemptID: "mine", End: true, Count: 2}}, engine.CodeIncomplete},
 		"no end marker": {[]engine.Event{token}, engine.CodeIncomplete},
-		"gap":           {[]engine.Event{{AttemptID: "mine", Index: 1, Token: "b"}}, engine.CodeIncomplete},
-		"another's":     {[]engine.Event{{AttemptID: "yours", Index: 0, Token: "c"}}, engine.CodeWrongID},
+		"missing token": {[]engine.Event{{AttemptID: "mine", Index: 1, Token: "b"}}, engine.CodeIncomplete},
+		"wrong id":      {[]engine.Event{{AttemptID: "yours", Index: 0, Token: "c"}}, engine.CodeWrongID},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,8 +77,8 @@
 	}
 }
 
-// TestEngineThatCannotBeReachedDidNotRun: no byte went out.
-func TestEngineThatCannotBeReachedDidNotRun(t *testing.T) {
+// TestUnreachableEngineDidNotRun: a request of which no byte was sent may be retried.
+func TestUnreachableEngineDidNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
@@ -84,9 +86,9 @@
 	require.Equal(t, engine.OutcomeNotRun, engine.OutcomeOf(err))
 }
 
-// TestBrokenConnectionLeavesTheOutcomeUnknown: the request went out, and the
-// engine may have run it.
-func TestBrokenConnectionLeavesTheOutcomeUnknown(t *testing.T) {
+// TestBrokenConnectionHasUnknownOutcome: the engine may have run a request that was
+// sent.
+func TestBrokenConnectionHasUnknownOutcome(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -102,9 +104,9 @@
 	require.Equal(t, engine.OutcomeUnknown, engine.OutcomeOf(err))
 }
 
-// TestCallOfOtherWordsIsNotSent: the library that writes fields makes spaces of line
-// breaks, so that an engine would get a path that nobody had sent.
-func TestCallOfOtherWordsIsNotSent(t *testing.T) {
+// TestCallWithInvalidHeaderIsNotSent: the HTTP library replaces line breaks in header
+// values by spaces, so that the engine would receive another path.
+func TestCallWithInvalidHeaderIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,6 +1,6 @@
-// Package engine is the client side of the engines: the protocol, an HTTP
-// client and the classification of outcomes. A real engine with another
-// protocol needs one new file beside client.go.
+// Package engine is the client for inference engines: the protocol, an HTTP
+// client and the classification of outcomes. Client implements the protocol of
+// the emulated engines; an engine with another protocol needs its own client.
 package engine
 
 import (
@@ -26,10 +26,10 @@
 	HeaderMethod  = "X-Call-Method"
 )
 
-// Priority orders work inside an engine.
+// Priority determines the order in which an engine runs its work.
 type Priority string
 
-// The priorities, the higher first.
+// The priorities, highest first.
 const (
 	PriorityOnline Priority = "online"
 	PriorityBatch  Priority = "batch"
@@ -37,33 +37,33 @@
 
 // GenerateRequest asks an engine to generate tokens.
 type GenerateRequest struct {
-	// AttemptID is unique per dispatch; the engine echoes it and refuses a
-	// second request with the same one.
+	// AttemptID is unique per attempt. The engine returns it with each event and
+	// refuses a second request with the same id.
 	AttemptID string `json:"attempt_id"`
 	Model     string `json:"model"`
 	// Input is the prompt or the list of chat messages.
 	Input     json.RawMessage `json:"input"`
 	MaxTokens int             `json:"max_tokens"`
 	Priority  Priority        `json:"priority"`
-	// Continue holds tokens that an earlier attempt produced; generation goes
-	// on after them and token indexes count from their number.
+	// Continue contains the tokens that an earlier attempt produced. Generation
+	// continues after them, and the first new token has the index len(Continue).
 	Continue []string `json:"continue,omitempty"`
-	// Fingerprint identifies the request's content whatever its attempt; engines are
-	// not told.
+	// Fingerprint identifies the request's content; it is the same for each attempt.
+	// It is not sent.
 	Fingerprint quarantine.Fingerprint `json:"-"`
-	// IsOnce tells that the request may not be sent again: the attempt goes on when its
-	// caller does not wait for it, and may be resumed. Engines are not told.
+	// IsOnce means that the request may be sent only once: the attempt continues after
+	// its caller stops waiting, and may be resumed. It is not sent.
 	IsOnce bool `json:"-"`
 }
 
 // Event is one server-sent event of a generation.
 type Event struct {
 	AttemptID string `json:"attempt_id"`
-	// Index is the position of the token in the whole answer.
+	// Index is the position of the token in the complete answer.
 	Index int    `json:"index"`
 	Token string `json:"token,omitempty"`
-	// End marks the last event; Count then states the number of tokens of the
-	// whole answer.
+	// End marks the last event; Count is then the number of tokens in the complete
+	// answer.
 	End          bool   `json:"end,omitempty"`
 	Count        int    `json:"count,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"`
@@ -78,13 +78,13 @@
 	FinishCancelled = "cancelled"
 )
 
-// CompleteEvent is the end of an answer whose tokens all came although its end
-// marker was lost: the token limit was reached, so nothing is left to ask for.
+// CompleteEvent returns the last event of an answer that reached its token limit
+// and whose end marker was lost.
 func CompleteEvent(tokens []string) Event {
 	return Event{End: true, Count: len(tokens), FinishReason: FinishLength}
 }
 
-// State is the life cycle of an engine as it reports it.
+// State is an engine's state as it reports it.
 type State string
 
 // The states of an engine.
@@ -94,7 +94,8 @@
 	StateDraining State = "draining"
 )
 
-// LoadReport is what an engine says of itself; it lags.
+// LoadReport is an engine's own report of its state and load. It may be out of
+// date.
 type LoadReport struct {
 	State         State    `json:"state"`
 	OnlineRunning int      `json:"online_running"`
@@ -107,23 +108,23 @@
 	Models        []string `json:"models"`
 }
 
-// LoadedModel names a model in a version as "name@version".
+// LoadedModel returns "name@version".
 func LoadedModel(name, version string) string { return name + "@" + version }
 
-// Order tells an engine what to load. An engine refuses an order whose fence
-// is lower than the highest it has accepted.
+// Order assigns models and a role to an engine. An engine refuses an order whose
+// fence is lower than the highest that it has accepted.
 type Order struct {
 	Fence  int64    `json:"fence"`
 	Models []string `json:"models"`
 	Role   string   `json:"role"`
 }
 
-// Refusal is the body of an answer by which an engine declines to start work.
+// Refusal is the body of an answer with which an engine refuses a request.
 type Refusal struct {
 	Code string `json:"code"`
 }
 
-// Refusal codes. All but RefusalAttemptExists promise that the work did not
+// Refusal codes. With each of them but RefusalAttemptExists, the work did not
 // start.
 const (
 	RefusalDraining      = "draining"
@@ -135,8 +136,8 @@
 	RefusalBadRequest    = "bad_request"
 )
 
-// PromptText flattens an input into the text that the model reads: a JSON
-// string stands for itself, anything else for its JSON.
+// PromptText returns the prompt of an input: the value of a JSON string, and the
+// JSON text of anything else.
 func PromptText(input json.RawMessage) string {
 	var text string
 	if json.Unmarshal(input, &text) == nil {
@@ -145,7 +146,7 @@
 	return string(input)
 }
 
-// bytesPerToken is the assumed mean length of a prompt token.
+// bytesPerToken is the assumed mean length of a prompt token, in bytes.
 const bytesPerToken = 4
 
 // EstimateTokens estimates the number of tokens in a prompt.
--- a/internal/engine/quarantine.go
+++ b/internal/engine/quarantine.go
@@ -9,9 +9,9 @@
 	"topazpulley/internal/quarantine"
 )
 
-// crashWindow is the time in which ends of one address are one end: engines of
-// this protocol have no id of their own for each start, and take longer than this
-// to load their models again.
+// crashWindow is the length of the periods in which all crashes at one address count
+// as one crash: engines do not report an incarnation, and take longer than this to
+// restart and load their models.
 const crashWindow = 10 * time.Second
 
 // GenerationFingerprint identifies a generation by its content, online or batch.
@@ -19,46 +19,48 @@
 	return quarantine.FingerprintOf(PathGenerate, model, tenant, input)
 }
 
-// refuseQuarantined returns an error if the request is quarantined. All requests to
-// engines pass here, online and batch.
-func (c *Client) refuseQuarantined(fingerprint quarantine.Fingerprint) error {
+// checkQuarantine returns an error if the request is quarantined. It is called for all
+// online and batch requests to engines.
+func (c *Client) checkQuarantine(fingerprint quarantine.Fingerprint) error {
 	if c.Quarantine == nil {
 		return nil
 	}
-	if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {
+	if _, isQuarantined := c.Quarantine.Verdict(fingerprint); !isQuarantined {
 		return nil
 	}
 	return &AttemptError{Outcome: OutcomeNotRun, Code: CodeQuarantined}
 }
 
-// noteSucceeded tells the guard that a run came to a good end.
-func (c *Client) noteSucceeded(fingerprint quarantine.Fingerprint, end Event) {
+// recordSuccess records a success in the quarantine. A cancelled generation is not a
+// success.
+func (c *Client) recordSuccess(fingerprint quarantine.Fingerprint, end Event) {
 	if c.Quarantine != nil && fingerprint != (quarantine.Fingerprint{}) && end.FinishReason != FinishCancelled {
 		c.Quarantine.Succeeded(fingerprint)
 	}
 }
 
-// noteBroken finds out whether the engine of an attempt that broke has ended, and
-// if so tells the guard. The caller waits for it: its next try would be sent before
-// the guard knows.
-func (c *Client) noteBroken(ctx context.Context, address string, fingerprint quarantine.Fingerprint, err error, hadOutput bool) {
+// recordCrash checks after a broken attempt whether the engine has exited, and if so
+// records a crash in the quarantine. It is synchronous, so that the crash is recorded
+// before the caller's next attempt.
+func (c *Client) recordCrash(ctx context.Context, address string, fingerprint quarantine.Fingerprint, err error, hadOutput bool) {
 	isBroken := CodeOf(err) == CodeBroken || CodeOf(err) == CodeIncomplete
 	if c.Quarantine == nil || fingerprint == (quarantine.Fingerprint{}) || ctx.Err() != nil || !isBroken {
 		return
 	}
-	if !hasEnded(address) {
+	if !hasExited(address) {
 		return
 	}
 	instance := fmt.Sprintf("%s@%d", address, time.Now().Unix()/int64(crashWindow.Seconds()))
 	c.Quarantine.Crashed(instance, []quarantine.Run{{Fingerprint: fingerprint, HadOutput: hadOutput}})
 }
 
-// hasEnded reports whether an engine's machine answers that nothing listens there.
-func hasEnded(address string) bool {
+// hasExited reports whether an engine has exited: its machine answers, but nothing
+// listens on the address.
+func hasExited(address string) bool {
 	connection, err := net.DialTimeout("tcp", address, quarantine.LiveCheckTimeout)
 	if err != nil {
 		return quarantine.IndicatesExit(err)
 	}
-	_ = connection.Close() // nothing was sent on it
+	_ = connection.Close() // nothing was sent
 	return false
 }
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -8,9 +8,8 @@
 )
 
 // do sends a request, which it releases, and returns the answer, which the caller
-// releases. It waits no longer than the context lasts: a call of the HTTP client ends
-// by timers of the steady clock alone, which stand still while the machine sleeps, and
-// held a request of 40 s for 40 s after its machine had slept for a minute.
+// releases. It returns when ctx ends. The HTTP client's own deadline is not enough: its
+// timers use the monotonic clock, which does not advance while the machine is suspended.
 func (c *Client) do(ctx context.Context, request *fasthttp.Request) (*fasthttp.Response, error) {
 	response := fasthttp.AcquireResponse()
 	answered := make(chan error, 1)
@@ -26,23 +25,23 @@
 		}
 		return response, nil
 	case <-ctx.Done():
-		go discardLate(answered, response)
+		go discardAnswer(answered, response)
 		return nil, &AttemptError{Outcome: OutcomeUnknown, Code: CodeAbandoned, cause: ctx.Err()}
 	}
 }
 
-// discardLate reads an answer that nobody waits for to its end, so that the
-// connection is clean before it is reused.
-func discardLate(answered <-chan error, response *fasthttp.Response) {
+// discardAnswer reads the rest of an abandoned request's answer, so that the
+// connection can be reused.
+func discardAnswer(answered <-chan error, response *fasthttp.Response) {
 	defer fasthttp.ReleaseResponse(response)
 	if err := <-answered; err != nil {
-		return // the attempt was given up already
+		return // the attempt has already failed
 	}
-	_, _ = readBody(response) // a connection that breaks is closed by the client
+	_, _ = readBody(response) // after an error the HTTP client closes the connection
 }
 
-// cancelAbandoned has the engine stop an attempt whose caller did not wait for the
-// head of its answer, unless it is the only one that there may be.
+// cancelAbandoned cancels an attempt in the background if its caller stopped waiting
+// before the answer's header arrived. Attempts with IsOnce continue.
 func (c *Client) cancelAbandoned(address string, request GenerateRequest, err error) {
 	if CodeOf(err) == CodeAbandoned && !request.IsOnce {
 		go c.Cancel(address, request.AttemptID)
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -95,13 +95,13 @@
 mutant no_attempt_echo internal/engine/client.go \
 	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestCrossedAnswersAreDropped
 mutant no_end_marker internal/engine/client.go \
-	'if event.Count != s.next {' 'if false {' internal/engine TestAnswerWithoutItsCountIsNotWhole
+	'if event.Count != s.next {' 'if false {' internal/engine TestIncompleteAnswerIsRejected
 mutant no_result_copy internal/gateway/results.go \
 	'	g.keepElsewhere(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
 mutant no_job_identity internal/batch/store.go \
 	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestResentJobIsTheSameJob
 mutant all_failures_not_run internal/engine/client.go \
-	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionLeavesTheOutcomeUnknown
+	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionHasUnknownOutcome
 mutant no_wait_at_stop internal/daemon/daemon.go \
 	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCutsOffNoRequest
 mutant no_pause_notice internal/membership/core.go \
@@ -293,7 +293,7 @@
 mutant every_break_is_a_crash internal/serving/guarded.go \
 	'	if !hasEnded {' '	if false {' platform TestBrokenAnswersOfLiveBackendsAreNoEvidence
 mutant quarantined_sent_to_engines internal/engine/quarantine.go \
-	'if _, isHeld := c.Quarantine.Verdict(fingerprint); !isHeld {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
+	'if _, isQuarantined := c.Quarantine.Verdict(fingerprint); !isQuarantined {' 'if true {' internal/gateway TestRequestThatEndsEnginesIsStopped
 mutant silent_store_connections_kept platform/store.go \
 	'			s.client.CloseIdleConnections()' '' platform TestSilentStoreConnectionsCostOneCall
 mutant silent_back_end_connections_kept platform/runner.go \
