--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -22,10 +22,10 @@
 	limiterBurstSeconds = 2
 )
 
-// Client is the one way from a daemon to the platform. It passes every call
-// through one rate limiter and one circuit breaker, retries with jittered
-// backoff until the context ends, and settles transactions whose answer was
-// lost by reading the operation id back.
+// Client makes all of a daemon's calls to the platform. Calls share one rate
+// limiter and one circuit breaker and are retried with jittered backoff until
+// the context ends. If the answer to a transaction was lost, Client recognises by
+// the operation id whether it was committed.
 type Client struct {
 	services Services
 	limiter  *rate.Limiter
@@ -40,7 +40,8 @@
 	failures uint64
 }
 
-// NewClient wraps services with a bound on operations per second.
+// NewClient returns a client of services that makes at most operationsPerSecond
+// calls per second.
 func NewClient(services Services, operationsPerSecond float64) *Client {
 	burst := int(operationsPerSecond*limiterBurstSeconds) + 1
 	return &Client{services: services, limiter: rate.NewLimiter(rate.Limit(operationsPerSecond), burst)}
@@ -62,11 +63,12 @@
 	}
 }
 
-// Available reports whether the circuit breaker lets calls through. Callers
-// that must not wait check it and refuse at once.
-func (c *Client) Available() bool { return c.breaker.closed() }
+// Available reports whether the circuit breaker is closed. Callers that must not
+// wait check it first.
+func (c *Client) Available() bool { return c.breaker.isClosed() }
 
-// retry calls operation until it succeeds, fails for good, or ctx ends.
+// retry calls operation until it succeeds, fails other than with KindUnavailable,
+// or ctx ends.
 func (c *Client) retry(ctx context.Context, operation func(context.Context) error) error {
 	backoff := retryBase
 	for {
@@ -82,14 +84,14 @@
 	}
 }
 
-// once makes a single bounded call.
+// once calls operation once, for at most attemptTimeout.
 func (c *Client) once(ctx context.Context, operation func(context.Context) error) error {
 	if !c.breaker.allow(time.Now()) {
 		return failure.New(failure.KindUnavailable, "platform_circuit_open", "the platform failed repeatedly; calls are paused")
 	}
 	if err := c.limiter.Wait(ctx); err != nil {
-		c.breaker.abandon()
-		return failure.Wrap(err, failure.KindUnavailable, "platform_rate_limited", "the daemon's platform budget is spent")
+		c.breaker.cancelProbe()
+		return failure.Wrap(err, failure.KindUnavailable, "platform_rate_limited", "the daemon's rate limit for platform calls is exceeded")
 	}
 	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -101,7 +103,7 @@
 }
 
 // Transact commits the transaction once. A retry whose condition fails because
-// an earlier try of the same operation took effect counts as success.
+// an earlier try was committed is a success.
 func (c *Client) Transact(ctx context.Context, transaction Transaction) (Version, error) {
 	var committed Version
 	tries := 0
@@ -163,7 +165,7 @@
 	return c.retry(ctx, func(attempt context.Context) error { return c.services.Put(attempt, name, content) })
 }
 
-// GetObject reads a whole object.
+// GetObject reads a complete object.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
 	var content []byte
 	err := c.retry(ctx, func(attempt context.Context) (err error) {
@@ -173,7 +175,7 @@
 	return content, err
 }
 
-// GetRange reads a part of an object.
+// GetRange reads length bytes of an object from offset.
 func (c *Client) GetRange(ctx context.Context, name string, offset, length int64) ([]byte, error) {
 	var content []byte
 	err := c.retry(ctx, func(attempt context.Context) (err error) {
@@ -183,7 +185,7 @@
 	return content, err
 }
 
-// List reads the machine list once; the caller polls.
+// List reads the machine list, without retries.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var machines []Machine
 	err := c.once(ctx, func(attempt context.Context) (err error) {
@@ -193,8 +195,8 @@
 	return machines, err
 }
 
-// breaker stops calls after consecutive failures and lets one probe through
-// per open interval.
+// breaker is a circuit breaker. It rejects calls after breakerThreshold consecutive
+// failures and then allows one probe per breakerOpenInterval.
 type breaker struct {
 	mutex     sync.Mutex
 	failures  int
@@ -202,7 +204,7 @@
 	probing   bool
 }
 
-func (b *breaker) closed() bool {
+func (b *breaker) isClosed() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.failures < breakerThreshold
@@ -221,8 +223,8 @@
 	return true
 }
 
-// abandon ends a probe that made no call.
-func (b *breaker) abandon() {
+// cancelProbe releases a probe that made no call.
+func (b *breaker) cancelProbe() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.probing = false
--- a/internal/storage/http.go
+++ b/internal/storage/http.go
@@ -25,8 +25,8 @@
 
 const defaultCallTimeout = 3 * time.Second
 
-// HTTPClient speaks the platform's HTTP protocol. It neither retries nor
-// limits; Client does.
+// HTTPClient implements Services over the platform's HTTP protocol. It does not
+// retry or limit calls; Client does.
 type HTTPClient struct {
 	baseURL string
 	client  *fasthttp.Client
@@ -37,7 +37,7 @@
 	machinesTag   string
 }
 
-// NewHTTPClient returns an adapter for the platform at baseURL.
+// NewHTTPClient returns a client of the platform at baseURL.
 func NewHTTPClient(baseURL string) *HTTPClient {
 	return &HTTPClient{
 		baseURL: baseURL,
@@ -138,7 +138,7 @@
 	return rows, nil
 }
 
-// objectPath is the path of an object. A name is one word of it, but for its
+// objectPath returns the path of an object. The name is escaped except for its
 // slashes.
 func objectPath(name string) string {
 	return PathObjects + strings.ReplaceAll(url.PathEscape(name), "%2F", "/")
@@ -162,7 +162,7 @@
 	return reply.body, nil
 }
 
-// GetObject reads a whole object.
+// GetObject implements Objects.
 func (c *HTTPClient) GetObject(ctx context.Context, name string) ([]byte, error) {
 	return c.getObject(ctx, name, nil)
 }
@@ -173,8 +173,8 @@
 	return c.getObject(ctx, name, map[string]string{"Range": byteRange})
 }
 
-// List implements Machines. It asks on condition of the entity tag: the list is
-// long and changes seldom.
+// List implements Machines. It sends the last entity tag, because the list is long
+// and seldom changes.
 func (c *HTTPClient) List(ctx context.Context) ([]Machine, error) {
 	c.machinesMutex.Lock()
 	defer c.machinesMutex.Unlock()
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -1,7 +1,7 @@
 // Package storage is the client side of the platform's services: a
-// transactional table, an object store and a machine list. The interfaces are
-// what the rest of the system uses; HTTPClient is the adapter for the
-// platform's HTTP protocol. Client bounds, retries and breaks calls.
+// transactional table, an object store and a machine list. HTTPClient implements
+// the Services interface over the platform's HTTP protocol. Client wraps Services
+// with timeouts, retries, a rate limit and a circuit breaker.
 package storage
 
 import (
@@ -11,8 +11,8 @@
 	"topazpulley/internal/failure"
 )
 
-// Version orders the states of a row; it rises with every commit. 0 stands for
-// a row that does not exist.
+// Version is the version of a row; it increases with every commit. The version of
+// a row that does not exist is 0.
 type Version uint64
 
 // Row is one table row.
@@ -20,11 +20,11 @@
 	Key     string  `json:"key"`
 	Value   []byte  `json:"value,omitempty"`
 	Version Version `json:"version"`
-	// OperationID names the transaction that wrote the row.
+	// OperationID identifies the transaction that wrote the row.
 	OperationID string `json:"operation_id"`
 }
 
-// Condition demands that a row has exactly this version.
+// Condition requires that a row has exactly this version.
 type Condition struct {
 	Key     string  `json:"key"`
 	Version Version `json:"version"`
@@ -39,7 +39,7 @@
 
 // Transaction applies all writes if all conditions hold, else nothing.
 type Transaction struct {
-	// OperationID is chosen by the writer; a retry carries the same one.
+	// OperationID is chosen by the writer; retries use the same id.
 	OperationID string      `json:"operation_id"`
 	Conditions  []Condition `json:"conditions"`
 	Writes      []Write     `json:"writes"`
@@ -49,15 +49,15 @@
 type TransactionResult struct {
 	Committed bool    `json:"committed"`
 	Version   Version `json:"version"`
-	// Conflicts holds the present state of the rows whose condition failed.
+	// Conflicts contains the current state of the rows whose condition failed.
 	Conflicts []Row `json:"conflicts,omitempty"`
 }
 
 // ScanRequest reads rows in key order.
 type ScanRequest struct {
 	Prefix string
-	// After excludes keys up to and including this one; empty means from the
-	// start. In a reverse scan it is a bound from above.
+	// After excludes keys up to and including this one; empty means no bound. In a
+	// reverse scan it excludes keys from this one on.
 	After   string
 	Limit   int
 	Reverse bool
@@ -81,7 +81,7 @@
 	MachineEngine MachineKind = "engine"
 )
 
-// Machine is one entry of the lagging machine list.
+// Machine is one entry of the machine list, which may be out of date.
 type Machine struct {
 	Name    string       `json:"name"`
 	Kind    MachineKind  `json:"kind"`
@@ -94,7 +94,8 @@
 
 // Table is the transactional table service.
 type Table interface {
-	// Transact commits or returns a *ConflictError with the rows that differ.
+	// Transact commits or returns a *ConflictError with the rows whose condition
+	// failed.
 	Transact(ctx context.Context, transaction Transaction) (Version, error)
 	// Get reads one row; a missing row has version 0.
 	Get(ctx context.Context, key string) (Row, error)
@@ -106,7 +107,7 @@
 type Objects interface {
 	// Put stores an object; putting the same name again is not an error.
 	Put(ctx context.Context, name string, content []byte) error
-	// GetObject reads a whole object.
+	// GetObject reads a complete object.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 	// GetRange reads length bytes from offset.
 	GetRange(ctx context.Context, name string, offset, length int64) ([]byte, error)
@@ -125,10 +126,10 @@
 	Machines
 }
 
-// ConflictError tells that a transaction changed nothing because a condition
-// did not hold.
+// ConflictError means that a transaction changed nothing because a condition
+// failed.
 type ConflictError struct {
-	// Rows is the present state of the rows at fault.
+	// Rows contains the current state of the rows whose condition failed.
 	Rows []Row
 }
 
@@ -141,7 +142,7 @@
 	return "table conflict on " + strings.Join(keys, ", ")
 }
 
-// Row returns the present state of the row with the key, if it is at fault.
+// Row returns the current state of the row with the key, if its condition failed.
 func (e *ConflictError) Row(key string) (Row, bool) {
 	for _, row := range e.Rows {
 		if row.Key == key {
@@ -151,9 +152,9 @@
 	return Row{}, false
 }
 
-// wroteAll reports whether the conflicting rows were all written by the
-// operation itself, which means that an earlier try took effect although its
-// answer was lost. At least one conflicting row must be among the writes.
+// wroteAll reports whether the transaction itself wrote all conflicting rows: an
+// earlier try was committed and its answer was lost. Without conflicting rows it
+// returns false.
 func (e *ConflictError) wroteAll(transaction Transaction) bool {
 	if len(e.Rows) == 0 {
 		return false
@@ -166,7 +167,7 @@
 	return true
 }
 
-// unavailable makes the failure for a platform that cannot be reached.
+// unavailable returns the failure of a call that the platform did not answer.
 func unavailable(cause error, what string) *failure.Error {
 	return failure.Wrap(cause, failure.KindUnavailable, "platform_unavailable", "the platform did not answer (%s)", what)
 }
