--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -57,8 +57,10 @@
 	CodeStalled    = "stream_stalled"
 	CodeWrongID    = "wrong_attempt_id"
 	CodeIncomplete = "incomplete_answer"
-	CodeAbandoned  = "abandoned"
-	CodeForgotten  = "attempt_forgotten"
+	// CodeAbandoned means that the caller's context ended first.
+	CodeAbandoned = "abandoned"
+	// CodeForgotten means that the engine does not have the attempt to resume.
+	CodeForgotten = "attempt_forgotten"
 	// CodeQuarantined means that the request has crashed engines and is not sent
 	// again.
 	CodeQuarantined = "quarantined"
