--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,5 +1,6 @@
-// Package bundle defines the versioned, signed configuration that the whole
-// fleet shares: services, models, adapters, tenants and scheduling policy.
+// Package bundle defines the versioned, signed configuration of the fleet:
+// services, models, adapters, tenants and scheduling policy. Parse decodes and
+// validates a bundle; Sign and Verify handle operators' signatures.
 package bundle
 
 import (
@@ -22,7 +23,7 @@
 	RoleDecode  Role = "decode"
 )
 
-// ServiceKind separates language-model services from plain ones.
+// ServiceKind distinguishes language-model services from plain ones.
 type ServiceKind string
 
 // The kinds of service.
@@ -33,7 +34,7 @@
 
 // Bundle is one complete configuration of the fleet.
 type Bundle struct {
-	// Name is for people; it does not identify the bundle, its digest does.
+	// Name is a description; the bundle is identified by its digest.
 	Name string `toml:"name"`
 	// Services by name.
 	Services map[string]Service `toml:"services"`
@@ -42,11 +43,11 @@
 	// Tenants by name.
 	Tenants map[string]Tenant `toml:"tenants"`
 
-	// directory finds tenants by key; Parse makes it.
+	// directory finds tenants by key; Parse sets it.
 	directory *tenant.Directory
 }
 
-// Service is a group of engines that answer the same calls.
+// Service is a group of engines that serve the same requests.
 type Service struct {
 	// Kind is "model" or "plain".
 	Kind ServiceKind `toml:"kind"`
@@ -56,28 +57,28 @@
 	Role Role `toml:"role"`
 	// Policy balances online latency against batch throughput.
 	Policy Policy `toml:"policy"`
-	// MaxUnavailable bounds the engines per zone that a rollout takes out of
+	// MaxUnavailable is how many engines per zone a rollout may take out of
 	// service at once.
 	MaxUnavailable int `toml:"max_unavailable"`
 	// RefuseWhenCutOff makes a daemon that cannot confirm its revision refuse
-	// the service's requests instead of serving with the last one.
+	// the service's requests instead of serving them with its last revision.
 	RefuseWhenCutOff bool `toml:"refuse_when_cut_off"`
 }
 
-// Policy holds the scheduling knobs of a service.
+// Policy contains the scheduling parameters of a service.
 type Policy struct {
-	// OnlineLimit is the greatest number of online requests that one engine
-	// may hold, running and waiting.
+	// OnlineLimit is the maximum number of online requests at one engine,
+	// running and waiting.
 	OnlineLimit int `toml:"online_limit"`
-	// BatchWindowMax is the greatest number of batch items in flight on one
+	// BatchWindowMax is the maximum number of batch items in flight at one
 	// engine.
 	BatchWindowMax int `toml:"batch_window_max"`
-	// BatchGuard is the number of online requests in flight on an engine
-	// above which its batch window collapses to zero.
+	// BatchGuard is the number of online requests in flight at an engine
+	// above which its batch window is zero.
 	BatchGuard int `toml:"batch_guard"`
-	// QueueTimeout bounds the time that a request waits for admission.
+	// QueueTimeout is the longest time that a request waits for admission.
 	QueueTimeout settings.Duration `toml:"queue_timeout"`
-	// RequestTimeout is the deadline of a request that states none.
+	// RequestTimeout is the time limit of a request without its own deadline.
 	RequestTimeout settings.Duration `toml:"request_timeout"`
 }
 
@@ -89,16 +90,17 @@
 	Adapters []string `toml:"adapters"`
 }
 
-// Tenant is one paying team.
+// Tenant is one customer, with its API key and limits.
 type Tenant struct {
 	// KeyDigest is the SHA-256, in hexadecimal, of the tenant's API key.
 	KeyDigest string `toml:"key_digest"`
 	// RequestsPerSecond is the sustained online rate, summed over all daemons; 0
 	// means no limit.
 	RequestsPerSecond float64 `toml:"requests_per_second"`
-	// Concurrency bounds online requests in flight per daemon; 0 means no limit.
+	// Concurrency is the maximum number of online requests in flight per daemon; 0
+	// means no limit.
 	Concurrency int `toml:"concurrency"`
-	// BatchWeight is the tenant's share of batch capacity.
+	// BatchWeight is the tenant's relative share of batch capacity.
 	BatchWeight int `toml:"batch_weight"`
 }
 
@@ -118,11 +120,11 @@
 	if err := settings.DecodeStrict(text, parsed); err != nil {
 		return nil, err
 	}
-	parsed.provision()
+	parsed.setDefaults()
 	if err := parsed.Validate(text); err != nil {
 		return nil, err
 	}
-	directory, err := parsed.compileTenants()
+	directory, err := parsed.newDirectory()
 	if err != nil {
 		return nil, err
 	}
@@ -130,11 +132,11 @@
 	return parsed, nil
 }
 
-// burstSeconds is how many seconds of its rate a tenant may use at once.
+// burstSeconds is the size of a tenant's burst in seconds of its rate.
 const burstSeconds = 2
 
-// compileTenants makes the tenants findable by their keys.
-func (b *Bundle) compileTenants() (*tenant.Directory, error) {
+// newDirectory returns a directory of the tenants by their keys.
+func (b *Bundle) newDirectory() (*tenant.Directory, error) {
 	compiled := []tenant.Tenant{}
 	for _, name := range sortedKeys(b.Tenants) {
 		each := b.Tenants[name]
@@ -148,11 +150,11 @@
 	return tenant.NewDirectory(compiled), nil
 }
 
-// Directory finds the bundle's tenants by key.
+// Directory returns the directory of the bundle's tenants by key.
 func (b *Bundle) Directory() *tenant.Directory { return b.directory }
 
-// provision fills in the defaults.
-func (b *Bundle) provision() {
+// setDefaults sets the defaults of absent values.
+func (b *Bundle) setDefaults() {
 	for name, service := range b.Services {
 		if service.Role == "" {
 			service.Role = RoleBoth
@@ -160,7 +162,7 @@
 		if service.MaxUnavailable == 0 {
 			service.MaxUnavailable = 1
 		}
-		service.Policy.provision()
+		service.Policy.setDefaults()
 		b.Services[name] = service
 	}
 	for name, tenant := range b.Tenants {
@@ -171,7 +173,7 @@
 	}
 }
 
-func (p *Policy) provision() {
+func (p *Policy) setDefaults() {
 	if p.OnlineLimit == 0 {
 		p.OnlineLimit = defaultOnlineLimit
 	}
@@ -189,7 +191,8 @@
 	}
 }
 
-// Validate checks values and references. The text serves to find lines.
+// Validate checks values and references. The text is the source of the bundle, used
+// for the line number in errors.
 func (b *Bundle) Validate(text string) error {
 	check := validator{text: text}
 	if len(b.Services) == 0 {
@@ -209,7 +212,7 @@
 	return check.first
 }
 
-// validator remembers the first problem.
+// validator keeps the first error found.
 type validator struct {
 	text  string
 	first error
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -23,18 +23,18 @@
 	require.False(t, known)
 }
 
-func TestBadBundleNamesItsLine(t *testing.T) {
+func TestInvalidBundleReportsLine(t *testing.T) {
 	good := harness.ExampleBundle("1")
 	cases := map[string]struct{ old, new, code string }{
-		"unknown key":        {"online_limit = 24", "online_limt = 24", "unknown_key"},
-		"wrong type":         {"online_limit = 24", `online_limit = "24"`, "bad_toml"},
-		"wrong unit":         {`queue_timeout = "500ms"`, `queue_timeout = "500"`, "bad_toml"},
-		"negative limit":     {"batch_guard = 4", "batch_guard = -4", "bad_bundle"},
-		"absurd limit":       {"batch_guard = 4", "batch_guard = 99999999", "bad_bundle"},
-		"dangling reference": {`models = ["assistant-small"]`, `models = ["missing"]`, "bad_bundle"},
-		"wrong kind":         {`kind = "plain"`, `kind = "strange"`, "bad_bundle"},
-		"bad key digest":     {`key_digest = "`, `key_digest = "x`, "bad_bundle"},
-		"no version":         {`version = "1"`, ``, "bad_bundle"},
+		"unknown key":     {"online_limit = 24", "online_limt = 24", "unknown_key"},
+		"wrong type":      {"online_limit = 24", `online_limit = "24"`, "bad_toml"},
+		"wrong unit":      {`queue_timeout = "500ms"`, `queue_timeout = "500"`, "bad_toml"},
+		"negative limit":  {"batch_guard = 4", "batch_guard = -4", "bad_bundle"},
+		"limit too large": {"batch_guard = 4", "batch_guard = 99999999", "bad_bundle"},
+		"unknown model":   {`models = ["assistant-small"]`, `models = ["missing"]`, "bad_bundle"},
+		"wrong kind":      {`kind = "plain"`, `kind = "strange"`, "bad_bundle"},
+		"bad key digest":  {`key_digest = "`, `key_digest = "x`, "bad_bundle"},
+		"no version":      {`version = "1"`, ``, "bad_bundle"},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	text := harness.ExampleBundle("1")
 	firstPublic, firstKey, err := ed25519.GenerateKey(nil)
 	require.NoError(t, err)
-	_, strangerKey, err := ed25519.GenerateKey(nil)
+	_, otherKey, err := ed25519.GenerateKey(nil)
 	require.NoError(t, err)
 	keys := map[string]string{"amina": hex.EncodeToString(firstPublic)}
 	good := bundle.Sign(text, "amina", firstKey)
@@ -63,10 +63,10 @@
 		code       string
 	}{
 		"unsigned":            {text, nil, 1, "too_few_signatures"},
-		"signed twice by one": {text, []bundle.Signature{good, good}, 2, "too_few_signatures"},
+		"same operator twice": {text, []bundle.Signature{good, good}, 2, "too_few_signatures"},
 		"altered":             {text + "# more", []bundle.Signature{good}, 1, "bad_signature"},
-		"wrong key":           {text, []bundle.Signature{bundle.Sign(text, "amina", strangerKey)}, 1, "bad_signature"},
-		"unknown operator":    {text, []bundle.Signature{bundle.Sign(text, "mallory", strangerKey)}, 1, "unknown_operator"},
+		"wrong key":           {text, []bundle.Signature{bundle.Sign(text, "amina", otherKey)}, 1, "bad_signature"},
+		"unknown operator":    {text, []bundle.Signature{bundle.Sign(text, "mallory", otherKey)}, 1, "unknown_operator"},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestDifferenceNamesWhatChanged(t *testing.T) {
+func TestDifferenceListsChanges(t *testing.T) {
 	before, err := bundle.Parse(harness.ExampleBundle("1"))
 	require.NoError(t, err)
 	after, err := bundle.Parse(harness.ExampleBundle("2"))
--- a/internal/bundle/signature.go
+++ b/internal/bundle/signature.go
@@ -9,9 +9,9 @@
 	"topazpulley/internal/failure"
 )
 
-// Signature is one operator's approval of a bundle's digest.
+// Signature is one operator's signature of a bundle's digest.
 type Signature struct {
-	// Operator names the key.
+	// Operator is the name of the key's owner.
 	Operator string `json:"operator" toml:"operator"`
 	// Value is the Ed25519 signature of the digest, in hexadecimal.
 	Value string `json:"value" toml:"value"`
@@ -23,30 +23,30 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// signedMessage separates bundle signatures from any other use of the key.
+// signedMessage returns the message that is signed. Its prefix makes a signature
+// invalid for any other use of the key.
 func signedMessage(digest string) []byte { return []byte("topazpulley bundle v1 " + digest) }
 
-// Sign approves the text with an operator's private key.
+// Sign signs the text with an operator's private key.
 func Sign(text, operator string, key ed25519.PrivateKey) Signature {
 	signed := ed25519.Sign(key, signedMessage(Digest(text)))
 	return Signature{Operator: operator, Value: hex.EncodeToString(signed)}
 }
 
-// Verify counts the distinct operators whose signatures on the text hold and
-// fails unless there are at least required of them. A wrong signature is an
-// error even when enough others hold.
+// Verify returns an error unless at least required distinct operators have signed
+// the text. An invalid signature is an error even if enough others are valid.
 func Verify(text string, signatures []Signature, publicKeys map[string]string, required int) error {
 	digest := Digest(text)
-	approved := map[string]bool{}
+	signers := map[string]bool{}
 	for _, signature := range signatures {
 		if err := verifyOne(digest, signature, publicKeys); err != nil {
 			return err
 		}
-		approved[signature.Operator] = true
+		signers[signature.Operator] = true
 	}
-	if len(approved) < required {
+	if len(signers) < required {
 		return failure.New(failure.KindUnauthorized, "too_few_signatures",
-			"the bundle has %d valid signatures and needs %d: have more operators sign it", len(approved), required)
+			"the bundle has %d valid signatures and needs %d: have more operators sign it", len(signers), required)
 	}
 	return nil
 }
@@ -65,12 +65,13 @@
 	value, err := hex.DecodeString(signature.Value)
 	if err != nil || !ed25519.Verify(publicKey, signedMessage(digest), value) {
 		return failure.New(failure.KindUnauthorized, "bad_signature",
-			"the signature of %q does not fit this bundle: sign the text as it is now", signature.Operator)
+			"the signature of %q is not valid for this bundle: sign its current text", signature.Operator)
 	}
 	return nil
 }
 
-// Difference lists the names that differ between two bundles, for operators.
+// Difference lists the models, services and tenants that were added, changed or
+// removed between two bundles.
 func Difference(before, after *Bundle) []string {
 	changes := []string{}
 	changes = append(changes, differenceOf("model", before.Models, after.Models, func(a, b Model) bool {
