--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,5 +1,6 @@
-// Package cluster runs the membership core of one daemon: it ticks it, carries
-// its datagrams and full exchanges, and tells subscribers what changed.
+// Package cluster runs the membership protocol of one daemon: it drives the
+// membership core with a timer, sends and receives its datagrams and full syncs, and
+// delivers its events to subscribers.
 package cluster
 
 import (
@@ -14,7 +15,7 @@
 	"topazpulley/internal/periodic"
 )
 
-// Methods of the peer protocol that Node answers.
+// Methods of the peer protocol that Node handles.
 const (
 	MethodSync = "membership.sync"
 	MethodPush = "membership.push"
@@ -25,11 +26,11 @@
 	syncTimeout    = 3 * time.Second
 )
 
-// Subscriber receives events. It is called without locks held, from one
-// goroutine at a time, and must not block for long.
+// Subscriber receives events. It is called from one goroutine, with no locks held,
+// and must not block for long.
 type Subscriber func(membership.Event)
 
-// Node is the membership of one daemon. mutex guards core.
+// Node is one daemon's view of the membership. mutex guards core.
 type Node struct {
 	mutex       sync.Mutex
 	core        *membership.Core
@@ -42,8 +43,7 @@
 
 const eventQueueLength = 1024
 
-// NewNode makes the membership of a daemon over a transport that is not yet
-// started.
+// NewNode returns a node that uses the transport, which must not be started yet.
 func NewNode(config membership.Config, self membership.Member, transport *peer.Transport, log *slog.Logger) *Node {
 	source := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	node := &Node{
@@ -54,24 +54,25 @@
 		events:    make(chan []membership.Event, eventQueueLength),
 	}
 	transport.OnPacket(node.receive)
-	peer.Handle(transport, MethodSync, node.answerSync)
-	peer.Handle(transport, MethodPush, node.acceptPush)
+	peer.Handle(transport, MethodSync, node.handleSync)
+	peer.Handle(transport, MethodPush, node.handlePush)
 	return node
 }
 
 // Subscribe adds a subscriber. It must be called before Run.
 func (n *Node) Subscribe(subscriber Subscriber) { n.subscribers = append(n.subscribers, subscriber) }
 
-// Run ticks the core until the context ends.
+// Run runs the node until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.dispatch(ctx)
 	periodic.Run(ctx, n.config.GossipInterval/ticksPerGossip, func() {
-		n.with(func(core *membership.Core) []membership.Datagram { return core.Tick(time.Now()) })
+		n.update(func(core *membership.Core) []membership.Datagram { return core.Tick(time.Now()) })
 	})
 }
 
-// with runs a step of the core, sends what it returns and queues its events.
-func (n *Node) with(step func(core *membership.Core) []membership.Datagram) {
+// update runs a step of the core, sends the datagrams that it returns and queues the
+// core's events.
+func (n *Node) update(step func(core *membership.Core) []membership.Datagram) {
 	n.mutex.Lock()
 	datagrams := step(n.core)
 	events := n.core.TakeEvents()
@@ -90,7 +91,7 @@
 }
 
 func (n *Node) receive(packet membership.Packet) {
-	n.with(func(core *membership.Core) []membership.Datagram { return core.Receive(time.Now(), packet) })
+	n.update(func(core *membership.Core) []membership.Datagram { return core.Receive(time.Now(), packet) })
 }
 
 func (n *Node) dispatch(ctx context.Context) {
@@ -116,11 +117,11 @@
 	}
 }
 
-// memberLines is how many members of one exchange have a line each. Of more, as at the start
-// of a large fleet, one line tells the numbers.
-const memberLines = 16
+// maxMemberLines is the number of changed members up to which each has its own log line.
+// Larger changes, as at the start of a large fleet, are logged as counts.
+const maxMemberLines = 16
 
-// logMembers logs what changed about members.
+// logMembers logs the changes of members.
 func (n *Node) logMembers(events []membership.Event) {
 	changed := []membership.Member{}
 	for _, event := range events {
@@ -128,7 +129,7 @@
 			changed = append(changed, event.Member)
 		}
 	}
-	if len(changed) <= memberLines {
+	if len(changed) <= maxMemberLines {
 		for _, member := range changed {
 			n.log.Info("member_changed", "member", member.Name, "zone", member.Zone, "state", member.State.String(), "incarnation", member.Incarnation)
 		}
@@ -154,7 +155,7 @@
 		return
 	}
 	var push membership.SyncPush
-	n.with(func(core *membership.Core) []membership.Datagram {
+	n.update(func(core *membership.Core) []membership.Datagram {
 		push = core.FinishSync(answer.SyncAnswer, time.Now())
 		return nil
 	})
@@ -167,31 +168,31 @@
 	}
 }
 
-func (n *Node) answerSync(_ context.Context, _ string, request peer.SyncRequestMessage) (peer.SyncAnswerMessage, error) {
+func (n *Node) handleSync(_ context.Context, _ string, request peer.SyncRequestMessage) (peer.SyncAnswerMessage, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return peer.SyncAnswerMessage{SyncAnswer: n.core.AnswerSync(request.SyncRequest)}, nil
 }
 
-func (n *Node) acceptPush(_ context.Context, _ string, push peer.SyncPushMessage) (peer.Empty, error) {
-	n.with(func(core *membership.Core) []membership.Datagram {
+func (n *Node) handlePush(_ context.Context, _ string, push peer.SyncPushMessage) (peer.Empty, error) {
+	n.update(func(core *membership.Core) []membership.Datagram {
 		core.AcceptPush(push.SyncPush, time.Now())
 		return nil
 	})
 	return peer.Empty{}, nil
 }
 
-// Publish spreads an item.
+// Publish distributes an item by gossip.
 func (n *Node) Publish(item membership.Item) {
-	n.with(func(core *membership.Core) []membership.Datagram {
+	n.update(func(core *membership.Core) []membership.Datagram {
 		core.Publish(item, time.Now())
 		return nil
 	})
 }
 
-// Hint sends one item directly to the member with the name.
+// Hint sends one item directly to the named member if it is live.
 func (n *Node) Hint(name string, item membership.Item) {
-	n.with(func(core *membership.Core) []membership.Datagram {
+	n.update(func(core *membership.Core) []membership.Datagram {
 		member, known := core.Member(name)
 		if !known || !member.Live() {
 			return nil
@@ -200,12 +201,12 @@
 	})
 }
 
-// Leave announces a graceful departure.
+// Leave announces that this daemon leaves.
 func (n *Node) Leave() {
-	n.with(func(core *membership.Core) []membership.Datagram { return core.Leave(time.Now()) })
+	n.update(func(core *membership.Core) []membership.Datagram { return core.Leave(time.Now()) })
 }
 
-// SetSeeds replaces the addresses tried for joining.
+// SetSeeds replaces the addresses through which this daemon joins.
 func (n *Node) SetSeeds(addresses []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -233,7 +234,7 @@
 	return n.core.Members()
 }
 
-// Generation rises with each change of the members. It is never 0.
+// Generation increases with each change of the members. It is never 0.
 func (n *Node) Generation() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -247,14 +248,14 @@
 	return n.core.Count()
 }
 
-// Member returns what is known of a name.
+// Member returns the entry of a name, and whether there is one.
 func (n *Node) Member(name string) (membership.Member, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core.Member(name)
 }
 
-// Items returns the items whose keys accept chooses.
+// Items returns the items for whose keys accept returns true.
 func (n *Node) Items(accept func(key string) bool) []membership.Item {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	wideBound = 30 * time.Second
-	pollEvery = 20 * time.Millisecond
+	waitLimit    = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // freeAddress returns a loopback address that is free for TCP.
@@ -45,28 +45,28 @@
 	return node
 }
 
-func TestNodesFindEachOtherAndSpreadItems(t *testing.T) {
+func TestNodesJoinAndDistributeItems(t *testing.T) {
 	key := make([]byte, 32)
 	first := startNode(t, "a", key)
 	second := startNode(t, "b", key, first.Self().Address)
 	third := startNode(t, "c", key, first.Self().Address)
 	for _, node := range []*cluster.Node{first, second, third} {
-		require.Eventually(t, func() bool { return len(node.Members()) == 3 }, wideBound, pollEvery)
+		require.Eventually(t, func() bool { return len(node.Members()) == 3 }, waitLimit, pollInterval)
 	}
 	second.Publish(membership.Item{Key: "k", Payload: []byte("v"), Priority: membership.PriorityState})
 	require.Eventually(t, func() bool {
 		return len(third.Items(func(key string) bool { return key == "k" })) == 1
-	}, wideBound, pollEvery)
+	}, waitLimit, pollInterval)
 	second.Leave()
-	require.Eventually(t, func() bool { return len(third.Members()) == 2 }, wideBound, pollEvery)
+	require.Eventually(t, func() bool { return len(third.Members()) == 2 }, waitLimit, pollInterval)
 }
 
-func TestNodeWithAnotherKeyIsRefused(t *testing.T) {
+func TestNodeWithOtherKeyIsRefused(t *testing.T) {
 	first := startNode(t, "a", make([]byte, 32))
 	otherKey := append(make([]byte, 31), 1)
-	stranger := startNode(t, "b", otherKey, first.Self().Address)
+	other := startNode(t, "b", otherKey, first.Self().Address)
 	peerNode := startNode(t, "c", make([]byte, 32), first.Self().Address)
-	require.Eventually(t, func() bool { return len(peerNode.Members()) == 2 }, wideBound, pollEvery)
-	require.Len(t, stranger.Members(), 1)
+	require.Eventually(t, func() bool { return len(peerNode.Members()) == 2 }, waitLimit, pollInterval)
+	require.Len(t, other.Members(), 1)
 	require.Len(t, first.Members(), 2)
 }
