--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,7 +1,7 @@
-// Package failure defines the typed errors that cross package and process
-// boundaries. Every error that a caller, an operator or another daemon can see
-// is a *failure.Error; its Kind decides the HTTP status and whether the work
-// may be tried again.
+// Package failure defines the typed errors that are passed between packages and
+// processes. Every error that callers, operators or other daemons receive is a
+// *failure.Error. Its Kind determines the HTTP status, and its NotRun whether the
+// work may safely be retried.
 package failure
 
 import (
@@ -15,7 +15,7 @@
 // Kind classifies a failure. The string value is part of the public API.
 type Kind string
 
-// The kinds of failure. A kind never changes its meaning.
+// The kinds of failure. The meaning of a kind never changes.
 const (
 	KindInvalid        Kind = "invalid_request"
 	KindTooLarge       Kind = "request_too_large"
@@ -31,7 +31,7 @@
 	KindInternal       Kind = "internal"
 )
 
-// statusByKind maps a kind to the HTTP status that callers receive.
+// statusByKind contains the HTTP status of each kind.
 var statusByKind = map[Kind]int{
 	KindInvalid:        http.StatusBadRequest,
 	KindTooLarge:       http.StatusRequestEntityTooLarge,
@@ -51,27 +51,27 @@
 type Error struct {
 	// Kind classifies the failure.
 	Kind Kind `json:"type"`
-	// Code names the exact failure within its kind, such as "queue_full".
+	// Code identifies the failure within its kind, such as "queue_full".
 	Code string `json:"code"`
-	// Message tells a person what is wrong and what to change.
+	// Message describes the failure and, where possible, how to fix it.
 	Message string `json:"message"`
-	// NotRun promises that no engine started the work.
+	// NotRun is set only if no engine started the work.
 	NotRun bool `json:"not_run"`
-	// Line is the 1-based line of the input that is at fault, or 0.
+	// Line is the line of the input with the error, counted from 1, or 0.
 	Line int `json:"line,omitempty"`
-	// RetryAfter tells when to try again; 0 means that retrying is pointless
-	// or that there is no estimate.
+	// RetryAfter is the time after which to retry; 0 means that a retry does not
+	// help or that there is no estimate.
 	RetryAfter time.Duration `json:"-"`
 
 	cause error
 }
 
-// New makes a failure. The message is formatted with fmt.Sprintf.
+// New returns a failure. The message is formatted with fmt.Sprintf.
 func New(kind Kind, code, format string, arguments ...any) *Error {
 	return &Error{Kind: kind, Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Wrap makes a failure that records the error which caused it.
+// Wrap returns a failure with the error that caused it.
 func Wrap(cause error, kind Kind, code, format string, arguments ...any) *Error {
 	wrapped := New(kind, code, format, arguments...)
 	wrapped.cause = errors.WithStack(cause)
@@ -90,11 +90,11 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Status returns the HTTP status for the failure. Callers repeat a request on 429
-// and 503 as one that has not run, so that these are given with that promise only.
+// Status returns the HTTP status of the failure. Callers retry after 429 and 503,
+// so these are returned only if the request has not run.
 func (e *Error) Status() int {
-	isPromise := e.Kind == KindOverloaded || e.Kind == KindUnavailable
-	if isPromise && !e.NotRun {
+	meansNotRun := e.Kind == KindOverloaded || e.Kind == KindUnavailable
+	if meansNotRun && !e.NotRun {
 		return http.StatusBadGateway
 	}
 	if status, known := statusByKind[e.Kind]; known {
@@ -103,26 +103,26 @@
 	return http.StatusInternalServerError
 }
 
-// WithNotRun returns the failure marked as not run.
+// WithNotRun sets NotRun and returns the failure.
 func (e *Error) WithNotRun() *Error {
 	e.NotRun = true
 	return e
 }
 
-// WithRetryAfter returns the failure with a time after which a retry may help.
+// WithRetryAfter sets RetryAfter and returns the failure.
 func (e *Error) WithRetryAfter(after time.Duration) *Error {
 	e.RetryAfter = after
 	return e
 }
 
-// WithLine returns the failure with the input line at fault.
+// WithLine sets Line and returns the failure.
 func (e *Error) WithLine(line int) *Error {
 	e.Line = line
 	return e
 }
 
-// From returns err as a *Error; an error of another type becomes KindInternal.
-// From(nil) is nil.
+// From returns the *Error that err wraps. An error of another type is wrapped with
+// KindInternal. From(nil) is nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -248,7 +248,7 @@
 }' '	return &AttemptError{Outcome: OutcomeNotRun, Code: refusal.Code}
 }' internal/gateway TestNotRunIsTrueAfterUnknownAttempts
 mutant status_promises internal/failure/failure.go \
-	'if isPromise && !e.NotRun {' 'if isPromise && false {' internal/gateway TestOnlyPromisesHaveTheirStatus
+	'if meansNotRun && !e.NotRun {' 'if meansNotRun && false {' internal/gateway TestOnlyPromisesHaveTheirStatus
 mutant unsent_taken_for_silent internal/serving/exchange.go \
 	'|| attemptError(err).Outcome == OutcomeNotRun {' '{' internal/serving 'TestNotRunVerdictOverRandomAttempts|TestNotRunVerdictFollowsSentAttempts'
 mutant stray_refusal_believed platform/runner.go \
