--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,5 +1,6 @@
-// Package machines watches the platform's lagging machine list: it gives the
-// addresses by which a daemon joins, and spreads the zone's engines by gossip.
+// Package machines polls the platform's machine list, which may be out of date. It
+// takes from it the seed addresses through which a daemon joins, and publishes the
+// zone's engines by gossip.
 package machines
 
 import (
@@ -23,29 +24,31 @@
 	refreshInterval = 2 * time.Minute
 )
 
-// Watcher polls the machine list while the duty falls to this daemon, and once
-// at start for seeds.
+// Watcher polls the machine list once at start, for seeds, and then while this
+// daemon is one of its zone's watchers.
 type Watcher struct {
 	platform *storage.Client
 	node     *cluster.Node
 	registry *registry.Registry
 	log      *slog.Logger
-	seeds    []string
-	sent     map[string]sentRecord
+	// seeds are the addresses from the settings.
+	seeds []string
+	// sent contains the last published record of each engine by its name.
+	sent map[string]sentRecord
 }
 
-// sentRecord is what was last published of an engine.
+// sentRecord is the last published record of an engine and the time of publishing.
 type sentRecord struct {
 	record registry.MachineRecord
 	at     time.Time
 }
 
-// NewWatcher makes a watcher; seeds are the addresses of the settings.
+// NewWatcher returns a watcher; seeds are the addresses from the settings.
 func NewWatcher(client *storage.Client, node *cluster.Node, engines *registry.Registry, seeds []string, log *slog.Logger) *Watcher {
 	return &Watcher{platform: client, node: node, registry: engines, seeds: seeds, log: log, sent: map[string]sentRecord{}}
 }
 
-// Run watches until the context ends.
+// Run polls until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	w.node.SetSeeds(w.seeds)
 	w.poll(ctx)
@@ -56,8 +59,8 @@
 	})
 }
 
-// isWatcher reports whether the duty falls to this daemon; a daemon that
-// knows no other polls in any case, to find seeds.
+// isWatcher reports whether this daemon is one of its zone's watchers. A daemon
+// without other live members in its zone always is, so that it finds seeds.
 func (w *Watcher) isWatcher() bool {
 	self := w.node.Self()
 	owners := duty.Owners("machines/"+self.Zone, w.node.ZoneNames(), watchersPerZone)
@@ -87,8 +90,8 @@
 	w.node.SetSeeds(seeds)
 }
 
-// publishEngines spreads what changed in this zone, and everything from time
-// to time. Leaving is urgent.
+// publishEngines publishes the machine records of the zone's engines, and a
+// removal for each engine that is no longer in the list.
 func (w *Watcher) publishEngines(list []storage.Machine, now time.Time) {
 	zone := w.node.Self().Zone
 	present := map[string]bool{}
@@ -106,11 +109,13 @@
 	}
 }
 
+// publish publishes an engine's record if it differs from the registry's or was last
+// published at least refreshInterval ago. Leaving and removed engines have urgent priority.
 func (w *Watcher) publish(name string, record registry.MachineRecord, now time.Time) {
 	known, isKnown := w.registry.Engine(name)
 	last := w.sent[name]
-	isNews := !isKnown || known.Machine != record
-	if !isNews && now.Sub(last.at) < refreshInterval {
+	isChanged := !isKnown || known.Machine != record
+	if !isChanged && now.Sub(last.at) < refreshInterval {
 		return
 	}
 	w.sent[name] = sentRecord{record: record, at: now}
@@ -119,7 +124,7 @@
 		priority = membership.PriorityUrgent
 	}
 	w.node.Publish(membership.Item{Key: registry.PrefixMachine + name, Zone: w.node.Self().Zone, Priority: priority, Payload: record.Encode()})
-	if isNews {
+	if isChanged {
 		w.log.Info("machine_changed", "engine", name, "address", record.Address, "leaving", record.Leaving, "removed", record.Removed)
 	}
 }
