--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -1,4 +1,4 @@
-// Package watchdog cancels work at a backend that stays silent for too long.
+// Package watchdog cancels work at a backend that shows no activity for too long.
 package watchdog
 
 import (
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Watchdog calls a function once when it is not fed in time. The nil watchdog
-// watches nothing.
+// Watchdog calls a function once if Feed is not called in time. The methods of a nil
+// Watchdog do nothing.
 type Watchdog struct {
 	pause  time.Duration
 	cancel func()
 	fired  atomic.Bool
 
-	// mutex guards the fields behind it.
+	// mutex guards the fields below.
 	mutex sync.Mutex
 	timer *time.Timer
-	// rest is how much longer the first sign of life may take if mayFire says no;
-	// mayFire is nil once it has been asked or there was a sign of life.
-	rest    time.Duration
+	// rest is how much longer the first activity may take if mayFire returns false.
+	rest time.Duration
+	// mayFire is nil after it was called, after the first activity and after Stop.
 	mayFire func() bool
 }
 
-// Start arms a watchdog: the first sign of life must come within first, each
-// further one within pause.
+// Start starts a watchdog that fires if the first call of Feed does not come within
+// first, or a further one not within pause.
 func Start(first, pause time.Duration, cancel func()) *Watchdog {
 	return StartEarly(first, first, pause, nil, cancel)
 }
 
-// StartEarly arms a watchdog that asks before it fires early: the first sign of life must
-// come within early, or within latest if mayFire says no then; each further one within
+// StartEarly starts a watchdog with two limits for the first call of Feed. After early it
+// calls mayFire and fires if that returns true; otherwise it fires after latest. Both are
+// counted from the start. It also fires if a further call of Feed does not come within
 // pause.
 func StartEarly(early, latest, pause time.Duration, mayFire func() bool, cancel func()) *Watchdog {
 	started := &Watchdog{pause: pause, cancel: cancel, rest: latest - early, mayFire: mayFire}
@@ -40,7 +41,7 @@
 	return started
 }
 
-// expire fires, unless the first sign of life may yet come.
+// expire fires unless the time for the first activity is extended.
 func (w *Watchdog) expire() {
 	if w.extend() {
 		return
@@ -49,7 +50,8 @@
 	w.cancel()
 }
 
-// extend gives the first sign of life the rest of its time if it may not be ended early.
+// extend extends the time for the first activity by rest and returns true if mayFire
+// returns false.
 func (w *Watchdog) extend() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -62,7 +64,7 @@
 	return true
 }
 
-// Feed tells of a sign of life.
+// Feed records activity and restarts the timer with pause.
 func (w *Watchdog) Feed() {
 	if w == nil {
 		return
@@ -73,7 +75,7 @@
 	w.timer.Reset(w.pause)
 }
 
-// Stop ends the watch. mayFire is not running any more when it returns.
+// Stop stops the timer. mayFire is not running when Stop returns.
 func (w *Watchdog) Stop() {
 	if w == nil {
 		return
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -16,8 +16,8 @@
 	pause  = time.Second
 )
 
-// TestFiresEarlyOnlyIfItMay: else the first sign of life has the rest of its time.
-func TestFiresEarlyOnlyIfItMay(t *testing.T) {
+// TestFiresEarlyOnlyIfAllowed: if mayFire returns false, the watchdog fires after latest.
+func TestFiresEarlyOnlyIfAllowed(t *testing.T) {
 	for _, mayFire := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			started := time.Now()
@@ -31,11 +31,12 @@
 	}
 }
 
-// TestSignsOfLifeAreWaitedForByThePause, and nobody is asked any more.
-func TestSignsOfLifeAreWaitedForByThePause(t *testing.T) {
+// TestPauseAppliesAfterFirstFeed: after the first activity the limit is pause, and
+// mayFire is not called.
+func TestPauseAppliesAfterFirstFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := 0
-		watched := watchdog.StartEarly(early, latest, pause, func() bool { asked++; return false }, func() {})
+		calls := 0
+		watched := watchdog.StartEarly(early, latest, pause, func() bool { calls++; return false }, func() {})
 		time.Sleep(early / 2)
 		watched.Feed()
 		time.Sleep(pause - time.Millisecond)
@@ -43,6 +44,6 @@
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		require.True(t, watched.Fired())
-		require.Zero(t, asked)
+		require.Zero(t, calls)
 	})
 }
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -24,7 +24,7 @@
 ' 'shortest = objective / floorDivisor
 ' internal/responsetimeout TestStreamTimeoutIsAtLeastObjective
 mutant left_early_in_vain internal/watchdog/watchdog.go \
-	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfItMay
+	'|| mayFire() {' '|| mayFire() || true {' internal/watchdog TestFiresEarlyOnlyIfAllowed
 mutant held_job_runs_after_its_end internal/job/accept.go \
 	'	if wasUnderWay {' '	if false {' internal/job TestJobThatIsEndedWhileItsSubmissionIsHeldDoesNotRun
 mutant holds_outlive_their_daemon internal/job/held.go \
