--- a/internal/avrocodec/avrocodec.go
+++ b/internal/avrocodec/avrocodec.go
@@ -1,6 +1,7 @@
-// Package avrocodec reads avro records that came from outside the process. A record
-// names the lengths of its parts before them; here no part is made room for that is
-// longer than the record can hold, and no malformed record ends the process.
+// Package avrocodec decodes Avro records from outside the process. An encoded record
+// states the length of each field or list before its content. Unmarshal allocates no more
+// than a record of that size may contain, and a malformed record does not crash the
+// process. MustParse parses and registers the schemas.
 package avrocodec
 
 import (
@@ -10,31 +11,32 @@
 )
 
 const (
-	// datagramBytes, frameBytes and contentBytes are the sizes up to which records
-	// come: in datagrams, in calls between daemons and as contents of jobs.
+	// datagramBytes, frameBytes and contentBytes are the maximum sizes of records in
+	// datagrams, in calls between daemons and in the contents of jobs.
 	datagramBytes = 64 << 10
 	frameBytes    = 1 << 20
 	contentBytes  = 64 << 20
-	// mostElements bounds the parts of a list; the largest jobs have 870,000 items.
-	mostElements = 1 << 20
+	// maxElements is the maximum number of elements of a list.
+	maxElements = 1 << 20
 )
 
-// reader reads records of up to a size.
+// reader decodes records of at most size bytes.
 type reader struct {
 	size int
 	api  avro.API
 }
 
-// readers are ordered by size. What a record's own words can make them allocate is
-// in proportion to the size.
+// readers are ordered by size. The memory that a reader allocates for a malformed record
+// is proportional to its size.
 var readers = []reader{newReader(datagramBytes), newReader(frameBytes), newReader(contentBytes)}
 
-// newReader makes a reader: a part takes at least one byte.
+// newReader returns a reader. A list has at most size elements, as each element has at
+// least one byte.
 func newReader(size int) reader {
-	return reader{size: size, api: avro.Config{MaxByteSliceSize: size, MaxSliceAllocSize: min(size, mostElements)}.Freeze()}
+	return reader{size: size, api: avro.Config{MaxByteSliceSize: size, MaxSliceAllocSize: min(size, maxElements)}.Freeze()}
 }
 
-// Unmarshal reads a record. An error is a *failure.Error.
+// Unmarshal decodes a record into target. The error is a *failure.Error.
 func Unmarshal(schema avro.Schema, content []byte, target any) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/internal/avrocodec/avrocodec_test.go
+++ b/internal/avrocodec/avrocodec_test.go
@@ -24,10 +24,9 @@
 	{"name":"parts","type":{"type":"array","items":{"type":"record","name":"part","fields":[{"name":"name","type":"string"}]}}},
 	{"name":"body","type":"bytes"}]}`)
 
-// TestLongPartsAreRead: the library reads no part of more than 1 MiB unless it is
-// told to, but writes them. A job with such a body was accepted, and could not be
-// read again.
-func TestLongPartsAreRead(t *testing.T) {
+// TestLongFieldsAreRead: by default the library encodes fields of more than 1 MiB but
+// does not decode them, so that a job with such a body could not be read.
+func TestLongFieldsAreRead(t *testing.T) {
 	for _, size := range []int{0, 1, datagramBytes - 10, datagramBytes, frameBytes, 3 << 20} {
 		wanted := list{Parts: []part{{Name: "a"}}, Body: bytes.Repeat([]byte{7}, size)}
 		content, err := avro.Marshal(listSchema, wanted)
@@ -40,9 +39,9 @@
 	require.True(t, failure.HasCode(err, "long_avro"))
 }
 
-// TestClaimedLengthTakesNoMemory: eight bytes that claimed a list of six thousand
-// million parts ended the process with "out of memory".
-func TestClaimedLengthTakesNoMemory(t *testing.T) {
+// TestClaimedLengthIsNotAllocated: a record of a few bytes that claims a list of
+// billions of elements must not exhaust the memory.
+func TestClaimedLengthIsNotAllocated(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for _, content := range []string{"\xff\xed\xff\xed0", "\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01", "\x80\x80\x80\x80\x10", "\x02\x80\x80\x80\x80\x10"} {
--- a/internal/avrocodec/schemas.go
+++ b/internal/avrocodec/schemas.go
@@ -8,18 +8,17 @@
 	"github.com/hamba/avro/v2"
 )
 
-// registered are the schemas of this build; mutex guards them.
+// registered contains the schemas of this build; mutex guards it.
 var (
 	mutex      sync.Mutex
 	registered []avro.Schema
 )
 
 // MustParse parses and registers a schema of messages between daemons or of records in the
-// store. Both cross from one build to another: while a fleet is upgraded, builds with
-// different schemas run side by side and read each other's records. A record carries no
-// schema, so a registered schema never changes. A message that needs other fields gets a
-// new name of its method or key, and records in the store a new table, which older builds
-// do not ask for.
+// store. While a fleet is upgraded, different builds run at the same time and read each
+// other's records. An encoded record does not contain its schema, so a registered schema
+// must never change. A message with other fields needs a new method or key name, and
+// records in the store a new table, which older builds do not read.
 func MustParse(text string) avro.Schema {
 	schema := avro.MustParse(text)
 	mutex.Lock()
