--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls a topazpulley daemon over HTTP, as callers and
-// operators do.
+// Package client is an HTTP client for the caller and operator APIs of a topazpulley
+// daemon.
 package client
 
 import (
@@ -24,7 +24,7 @@
 	maxConns     = 4096
 )
 
-// Client calls one daemon with one key.
+// Client calls one daemon with one API key or the operator token.
 type Client struct {
 	// BaseURL is the daemon's address, such as "http://127.0.0.1:8080".
 	BaseURL string
@@ -44,7 +44,8 @@
 // Header is one extra request header.
 type Header struct{ Name, Value string }
 
-// do sends a call and returns the open response; the caller releases it.
+// do sends a request and returns the response with its body unread. The caller
+// releases the response.
 func (c *Client) do(method, path string, body []byte, timeout time.Duration, headers ...Header) (*fasthttp.Response, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -64,8 +65,8 @@
 	return response, nil
 }
 
-// Call sends a request and returns the body, or the failure that the daemon
-// answered.
+// Call sends a request and returns the body of the answer. If the daemon answered
+// with an error, Call returns that *failure.Error.
 func (c *Client) Call(method, path string, body []byte, headers ...Header) ([]byte, error) {
 	response, err := c.do(method, path, body, callTimeout, headers...)
 	if err != nil {
@@ -74,7 +75,7 @@
 	defer fasthttp.ReleaseResponse(response)
 	content, err := io.ReadAll(response.BodyStream())
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindUnavailable, "answer_broken", "the answer broke off")
+		return nil, failure.Wrap(err, failure.KindUnavailable, "answer_broken", "the connection broke before the end of the answer")
 	}
 	if response.StatusCode() >= fasthttp.StatusBadRequest {
 		return nil, decodeFailure(response, content)
@@ -93,7 +94,8 @@
 	return body.Error
 }
 
-// callJSON sends and receives JSON.
+// callJSON sends a request as JSON and decodes the JSON answer. A nil request has no
+// body.
 func callJSON[A any](c *Client, method, path string, request any, headers ...Header) (A, error) {
 	var answer A
 	var body []byte
@@ -109,12 +111,12 @@
 		return answer, err
 	}
 	if err := json.Unmarshal(content, &answer); err != nil {
-		return answer, failure.Wrap(err, failure.KindInternal, "bad_answer", "the daemon's answer is not what was expected")
+		return answer, failure.Wrap(err, failure.KindInternal, "bad_answer", "the daemon's answer cannot be decoded")
 	}
 	return answer, nil
 }
 
-// Change asks for a new configuration revision.
+// Change requests a new configuration revision.
 func (c *Client) Change(request gateway.ChangeRequest) (revision.Revision, error) {
 	return callJSON[revision.Revision](c, fasthttp.MethodPost, gateway.PathRevisions, request)
 }
@@ -129,12 +131,12 @@
 	return callJSON[gateway.Status](c, fasthttp.MethodGet, gateway.PathStatus, nil)
 }
 
-// Quarantined lists the requests that are sent to no backend.
+// Quarantined lists the quarantined requests.
 func (c *Client) Quarantined() (quarantine.Listing, error) {
 	return callJSON[quarantine.Listing](c, fasthttp.MethodGet, quarantine.PathAdmin, nil)
 }
 
-// LiftQuarantine lets a quarantined request run again.
+// LiftQuarantine ends the quarantine of a request.
 func (c *Client) LiftQuarantine(fingerprint string) error {
 	_, err := callJSON[quarantine.Listing](c, fasthttp.MethodDelete, quarantine.PathAdmin+"/"+fingerprint, nil)
 	return err
@@ -150,7 +152,7 @@
 	ID string `json:"id"`
 }
 
-// Batch is a job as callers see it.
+// Batch is a batch job in the callers' API.
 type Batch struct {
 	ID            string `json:"id"`
 	Status        string `json:"status"`
@@ -179,13 +181,14 @@
 	return file, nil
 }
 
-// batchRequest creates a job.
+// batchRequest is the body of a request that creates a job.
 type batchRequest struct {
 	InputFileID string `json:"input_file_id"`
 	Endpoint    string `json:"endpoint"`
 }
 
-// CreateBatch creates a job, or finds it again by its key.
+// CreateBatch creates a job, or returns the one that was created with the same
+// idempotency key.
 func (c *Client) CreateBatch(fileID, endpoint, key string) (Batch, error) {
 	return callJSON[Batch](c, fasthttp.MethodPost, "/v1/batches", batchRequest{InputFileID: fileID, Endpoint: endpoint}, Header{gateway.HeaderIdempotencyKey, key})
 }
@@ -205,7 +208,7 @@
 	return c.Call(fasthttp.MethodGet, "/v1/files/"+id+"/content", nil)
 }
 
-// Completion asks for a completion of a prompt.
+// Completion is a request to complete a prompt.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -213,7 +216,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// streamEvent is a chunk of a streamed completion, or its failure.
+// streamEvent is one chunk of a streamed completion, or its error.
 type streamEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -222,8 +225,8 @@
 	Error *failure.Error `json:"error"`
 }
 
-// Stream asks for a streamed completion and delivers each piece of text. An
-// answer without its end marker is a failure.
+// Stream requests a streamed completion and passes each piece of text to deliver.
+// An answer without its end marker is an error.
 func (c *Client) Stream(request Completion, timeout time.Duration, deliver func(text string), headers ...Header) error {
 	request.Stream = true
 	encoded, err := json.Marshal(request)
