--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker compares what callers got and what is readable with what the
-// emulated engines answer. It knows nothing of the system's own counters.
+// Package checker compares the answers and batch results that callers receive with
+// the answers that the emulated engines give. It does not use the system's own counters.
 package checker
 
 import (
@@ -14,10 +14,10 @@
 	"topazpulley/internal/failure"
 )
 
-// Results are the visible result lines of a job by custom id.
+// Results contains the result lines of a job by custom id.
 type Results map[string][]batch.ResultLine
 
-// ParseResults reads the lines of output and error files.
+// ParseResults parses the contents of output and error files.
 func ParseResults(contents ...[]byte) (Results, error) {
 	results := Results{}
 	for _, content := range contents {
@@ -27,7 +27,7 @@
 			}
 			result := batch.ResultLine{}
 			if err := json.Unmarshal([]byte(line), &result); err != nil {
-				return nil, failure.Wrap(err, failure.KindInternal, "bad_result", "a result is not JSON")
+				return nil, failure.Wrap(err, failure.KindInternal, "bad_result", "a result line is not valid JSON")
 			}
 			results[result.CustomID] = append(results[result.CustomID], result)
 		}
@@ -35,7 +35,7 @@
 	return results, nil
 }
 
-// ReadResults reads all visible results of a job.
+// ReadResults reads a job's output and error files.
 func ReadResults(caller *client.Client, job string) (Results, error) {
 	present, err := caller.Batch(job)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return ParseResults(output, failed)
 }
 
-// Expected is the whole answer of an emulated engine to a prompt.
+// Expected returns the complete answer of an emulated engine to a prompt.
 func Expected(prompt string, tokens int) string {
 	return engine.JoinTokens(emulator.OutputTokens(prompt, tokens))
 }
@@ -64,7 +64,7 @@
 	} `json:"choices"`
 }
 
-// Single returns the one result of an item; none or several are a failure.
+// Single returns the only result of an item. No result or several are an error.
 func (r Results) Single(id string) (batch.ResultLine, error) {
 	if len(r[id]) != 1 {
 		return batch.ResultLine{}, failure.New(failure.KindInternal, "not_exactly_once", "item %q has %d results", id, len(r[id]))
@@ -72,10 +72,10 @@
 	return r[id][0], nil
 }
 
-// CheckAnswer verifies that a result is the whole answer to the prompt.
+// CheckAnswer returns an error unless a result is the complete answer to the prompt.
 func CheckAnswer(line batch.ResultLine, prompt string, tokens int) error {
 	if line.Error != nil || line.Response == nil {
-		return failure.New(failure.KindInternal, "item_failed", "item %q ended with %+v", line.CustomID, line.Error)
+		return failure.New(failure.KindInternal, "item_failed", "item %q failed: %+v", line.CustomID, line.Error)
 	}
 	body := completion{}
 	if err := json.Unmarshal(line.Response.Body, &body); err != nil || len(body.Choices) != 1 {
@@ -84,16 +84,16 @@
 	return CheckText(body.Choices[0].Text, prompt, tokens)
 }
 
-// CheckText verifies that a text is the whole answer to the prompt.
+// CheckText returns an error unless a text is the complete answer to the prompt.
 func CheckText(text, prompt string, tokens int) error {
 	if expected := Expected(prompt, tokens); text != expected {
-		return failure.New(failure.KindInternal, "wrong_answer", "answer %q is not %q", text, expected)
+		return failure.New(failure.KindInternal, "wrong_answer", "got answer %q, expected %q", text, expected)
 	}
 	return nil
 }
 
-// Stream asks for one streamed answer and verifies that it is whole and the
-// prompt's own.
+// Stream requests a streamed answer and returns an error unless it is the complete
+// answer to the prompt.
 func Stream(caller *client.Client, request client.Completion, deadline time.Duration, headers ...client.Header) error {
 	text := strings.Builder{}
 	if err := caller.Stream(request, deadline, func(piece string) { text.WriteString(piece) }, headers...); err != nil {
@@ -102,7 +102,7 @@
 	return CheckText(text.String(), request.Prompt, request.MaxTokens)
 }
 
-// StartedTimes counts by prompt how often engines started it.
+// StartedTimes returns for each prompt how often engines started it.
 func StartedTimes(entries []emulator.LedgerEntry) map[string]int {
 	started := map[string]int{}
 	for _, entry := range entries {
