--- a/internal/engine/cancel.go
+++ b/internal/engine/cancel.go
@@ -16,7 +16,8 @@
 
 // Cancel asks the engine to stop an attempt and retries while the engine does not answer:
 // an attempt that is not stopped uses a slot until it ends. It reports whether the engine
-// stopped the attempt; false means that the attempt had ended or no answer arrived.
+// stopped the attempt; false means that the attempt had ended, that the engine answered
+// with another status or that it did not answer.
 func (c *Client) Cancel(address, attemptID string) bool {
 	pause := cancelPause
 	for try := range cancelTries {
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -40,8 +40,8 @@
 	failures uint64
 }
 
-// NewClient returns a client of services that makes at most operationsPerSecond
-// calls per second.
+// NewClient returns a client of services that makes operationsPerSecond calls per
+// second on average at most, with bursts of limiterBurstSeconds times as many.
 func NewClient(services Services, operationsPerSecond float64) *Client {
 	burst := int(operationsPerSecond*limiterBurstSeconds) + 1
 	return &Client{services: services, limiter: rate.NewLimiter(rate.Limit(operationsPerSecond), burst)}
