--- a/internal/batch/chunk.go
+++ b/internal/batch/chunk.go
@@ -1,9 +1,10 @@
-// Package batch keeps batch jobs: accepting them, splitting them into chunks,
-// claiming chunks, committing results and completing or cancelling jobs.
+// Package batch stores batch jobs, splits them into chunks, assigns the chunks
+// to workers, commits results and completes or cancels jobs.
 //
-// Chunk is a pure state machine; Store makes its transitions durable with
-// conditional writes; Coordinator hands out chunks; Worker runs them. Safety
-// rests on Store's conditions alone, never on who believes to be the owner.
+// Chunk is a state machine without side effects. Store persists its transitions
+// with conditional writes. Coordinator assigns chunks, and Worker runs them.
+// Only the conditions of Store's writes protect against concurrent owners; the
+// in-memory state of Coordinator and Worker may be outdated.
 package batch
 
 import (
@@ -12,38 +13,39 @@
 	"topazpulley/internal/failure"
 )
 
-// Segment is a group of committed results of one chunk. Its object holds one
+// Segment is a group of committed results of one chunk. Its object contains one
 // result line per item.
 type Segment struct {
 	// Epoch is the claim under which the segment was committed.
 	Epoch int64 `json:"epoch"`
-	// Sequence numbers the segments of one epoch.
+	// Sequence is the segment's number within the epoch, from 0.
 	Sequence int `json:"sequence"`
-	// Object names the results in the object store.
+	// Object is the name of the results in the object store.
 	Object string `json:"object"`
-	// Items are the indexes, within the chunk, of the results in order.
+	// Items are the indexes within the chunk of the items, in result order.
 	Items []int `json:"items"`
-	// Failed counts the items that ended in an error.
+	// Failed is the number of items that failed.
 	Failed int `json:"failed"`
 }
 
-// Intent records, before dispatch, that an item which may not be repeated is
-// about to be sent to an engine.
+// Intent records that an item that must run at most once is about to be sent to
+// an engine. It is written before the item is sent.
 type Intent struct {
 	Item      int    `json:"item"`
 	Engine    string `json:"engine"`
 	Address   string `json:"address"`
 	AttemptID string `json:"attempt_id"`
-	// Replaces names the item's earlier attempt when the owner knows that the
-	// engine refused it before start.
+	// Replaces is the id of the item's earlier attempt, set only if the engine
+	// refused that attempt before it started.
 	Replaces string `json:"replaces,omitempty"`
 }
 
-// Chunk is the durable state of one chunk: the unit of claim and hand-over.
+// Chunk is the durable state of one chunk, the unit of work that a worker
+// claims.
 //
-// Invariants: Epoch rises with every claim; only the owner of the present
-// epoch adds segments or intents; an item stands in at most one segment and
-// has at most one intent; Done holds if and only if every item is committed.
+// Invariants: every claim increments Epoch; only the owner of the current epoch
+// adds segments or intents; an item is in at most one segment and has at most
+// one intent; Done is true if and only if every item is committed.
 type Chunk struct {
 	Job      string    `json:"job"`
 	Number   int       `json:"number"`
@@ -55,14 +57,14 @@
 	Done     bool      `json:"done"`
 }
 
-// Claim returns the chunk owned by owner under the next epoch.
+// Claim returns the chunk with the given owner and the next epoch.
 func (c Chunk) Claim(owner string) Chunk {
 	c.Owner = owner
 	c.Epoch++
 	return c
 }
 
-// Committed tells for every item whether its result is committed.
+// Committed reports for every item whether its result is committed.
 func (c Chunk) Committed() []bool {
 	committed := make([]bool, c.Items)
 	for _, segment := range c.Segments {
@@ -84,7 +86,7 @@
 	return remaining
 }
 
-// FailedItems counts the committed items that ended in an error.
+// FailedItems returns the number of committed items that failed.
 func (c Chunk) FailedItems() int {
 	failed := 0
 	for _, segment := range c.Segments {
@@ -93,7 +95,7 @@
 	return failed
 }
 
-// CommittedItems counts the committed items.
+// CommittedItems returns the number of committed items.
 func (c Chunk) CommittedItems() int {
 	count := 0
 	for _, segment := range c.Segments {
@@ -102,7 +104,8 @@
 	return count
 }
 
-// HasSegment reports whether the segment of an epoch and sequence is committed.
+// HasSegment reports whether the segment with the given epoch and sequence is
+// committed.
 func (c Chunk) HasSegment(epoch int64, sequence int) bool {
 	for _, segment := range c.Segments {
 		if segment.Epoch == epoch && segment.Sequence == sequence {
@@ -122,7 +125,8 @@
 	return Intent{}, false
 }
 
-// Commit adds a segment under the owner's epoch.
+// Commit adds a segment. It fails if the owner or the segment's epoch is not the
+// chunk's current one, or if an item is already committed.
 func (c Chunk) Commit(owner string, segment Segment) (Chunk, error) {
 	if err := c.checkOwner(owner, segment.Epoch); err != nil {
 		return c, err
@@ -139,9 +143,10 @@
 	return c, nil
 }
 
-// RecordIntents adds intents under the owner's epoch. An item that already has
-// one is refused, since it may have run, unless the new intent replaces an
-// attempt that is known not to have run.
+// RecordIntents adds intents. It fails if the owner or epoch is not the chunk's
+// current one. It also fails for an item that already has an intent, because
+// the item may have run, unless the new intent replaces an attempt that the
+// engine refused.
 func (c Chunk) RecordIntents(owner string, epoch int64, intents []Intent) (Chunk, error) {
 	if err := c.checkOwner(owner, epoch); err != nil {
 		return c, err
@@ -177,7 +182,7 @@
 	return nil
 }
 
-// CodeStaleEpoch tells that another owner has claimed the chunk since.
+// CodeStaleEpoch is the error code for a chunk that another owner has claimed.
 const CodeStaleEpoch = "stale_epoch"
 
 // Key returns the chunk's table key.
--- a/internal/batch/commit.go
+++ b/internal/batch/commit.go
@@ -10,37 +10,37 @@
 	"topazpulley/internal/peer"
 )
 
-// RecordIntent makes the dispatch of an item that may not be repeated durable.
-// Only after it has returned nil may the item be sent.
+// RecordIntent stores the intent of an item that must run at most once. The item
+// may be sent only after RecordIntent has returned nil.
 func (w *Worker) RecordIntent(ctx context.Context, task *Task, intent Intent) error {
 	chunk := task.chunk
 	chunk.storeMutex.Lock()
 	defer chunk.storeMutex.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	next, err := w.store.RecordIntents(bounded, chunk.held(), []Intent{intent})
+	next, err := w.store.RecordIntents(bounded, chunk.claimed(), []Intent{intent})
 	if err == nil {
 		chunk.setState(next)
 		return nil
 	}
-	if isLost(err) {
-		w.lose(chunk, err)
+	if isClaimLost(err) {
+		w.dropChunk(chunk, err)
 	}
 	return err
 }
 
-func (c *activeChunk) setState(next HeldChunk) {
+func (c *activeChunk) setState(next ClaimedChunk) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.state = next
 }
 
-func isLost(err error) bool {
+func isClaimLost(err error) bool {
 	return failure.HasCode(err, CodeStaleEpoch) || failure.HasCode(err, CodeJobEnded)
 }
 
 // commitLoop commits a chunk's results in segments until all are committed or
-// the chunk is lost. While the platform is down, results wait in memory.
+// the chunk is dropped. While the platform is down, results stay in memory.
 func (w *Worker) commitLoop(ctx context.Context, chunk *activeChunk) {
 	ticker := time.NewTicker(commitPollInterval)
 	defer ticker.Stop()
@@ -62,7 +62,8 @@
 	}
 }
 
-// commitOnce commits what is due and reports whether it did.
+// commitOnce commits the results that are due and reports whether it committed
+// any.
 func (w *Worker) commitOnce(ctx context.Context, chunk *activeChunk) bool {
 	chunk.storeMutex.Lock()
 	defer chunk.storeMutex.Unlock()
@@ -72,22 +73,22 @@
 	}
 	segment := Segment{Sequence: chunk.sequence}
 	lines := make([][]byte, 0, len(due))
-	for _, one := range due {
-		segment.Items = append(segment.Items, one.index)
-		lines = append(lines, one.line)
-		if one.failed {
+	for _, finished := range due {
+		segment.Items = append(segment.Items, finished.index)
+		lines = append(lines, finished.line)
+		if finished.failed {
 			segment.Failed++
 		}
 	}
 	bounded, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	next, err := w.store.Commit(bounded, chunk.held(), segment, lines)
+	next, err := w.store.Commit(bounded, chunk.claimed(), segment, lines)
 	if err == nil {
-		chunk.committed(next, len(due))
+		chunk.setCommitted(next, len(due))
 		return true
 	}
-	if isLost(err) {
-		w.lose(chunk, err)
+	if isClaimLost(err) {
+		w.dropChunk(chunk, err)
 		return false
 	}
 	w.log.Warn("commit_delayed", "job", chunk.job.ID, "chunk", chunk.number, "results", len(due), "error", err)
@@ -98,7 +99,7 @@
 	return false
 }
 
-func (c *activeChunk) committed(next HeldChunk, count int) {
+func (c *activeChunk) setCommitted(next ClaimedChunk, count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.state = next
@@ -107,12 +108,12 @@
 	if count <= len(c.results) {
 		c.results = slices.Clone(c.results[count:])
 	}
-	c.oldest = time.Now()
+	c.oldestAt = time.Now()
 	c.done = next.Chunk.Done
 }
 
-// reportAll tells every coordinator concerned what this worker holds, then
-// forgets what is done or lost and was heard.
+// reportAll reports the active chunks to the coordinators of their shards, then
+// removes the done and released chunks of each report that was delivered.
 func (w *Worker) reportAll(ctx context.Context) {
 	w.releaseStalled(ctx)
 	byShard := map[int][]AssignmentMessage{}
@@ -124,29 +125,30 @@
 	w.mutex.Unlock()
 	for shard, messages := range byShard {
 		if w.report(ctx, shard, messages) {
-			w.forgetEnded(messages)
+			w.removeFinished(messages)
 		}
 	}
 }
 
-// release commits what a chunk has and gives the rest up for others.
+// release commits the chunk's finished results and drops the rest, so that
+// another worker can claim it.
 func (w *Worker) release(ctx context.Context, chunk *activeChunk) {
 	chunk.mutex.Lock()
-	chunk.oldest = time.Time{}
+	chunk.oldestAt = time.Time{}
 	chunk.mutex.Unlock()
 	w.commitOnce(ctx, chunk)
 	if !chunk.assignment().Done {
-		chunk.lose()
+		chunk.drop()
 	}
 }
 
-// releaseStalled gives up chunks that this daemon's engines do not get to.
+// releaseStalled releases chunks that this daemon's engines do not run.
 func (w *Worker) releaseStalled(ctx context.Context) {
 	w.mutex.Lock()
 	active := slices.Clone(w.active)
 	w.mutex.Unlock()
 	for _, chunk := range active {
-		if chunk.stalled(time.Now()) {
+		if chunk.isStalled(time.Now()) {
 			w.log.Info("chunk_released", "job", chunk.job.ID, "chunk", chunk.number)
 			w.release(ctx, chunk)
 		}
@@ -171,24 +173,24 @@
 	return true
 }
 
-// dropIfEnded drops a job's chunks after reading that it has ended; a new
-// coordinator may merely not have found the job yet.
+// dropIfEnded drops the chunks of a job that the store shows as ended. The store
+// is read because a new coordinator may not have loaded the job yet.
 func (w *Worker) dropIfEnded(ctx context.Context, job string) {
-	present, _, err := w.store.Job(ctx, job)
-	if err != nil || present.State == StateRunning {
+	current, _, err := w.store.Job(ctx, job)
+	if err != nil || current.State == StateRunning {
 		return
 	}
-	w.forgetJob(job)
+	w.removeJob(job)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, chunk := range w.active {
 		if chunk.job.ID == job && !chunk.assignment().Done {
-			w.lose(chunk, failure.New(failure.KindCancelled, CodeJobEnded, "the job has ended"))
+			w.dropChunk(chunk, failure.New(failure.KindCancelled, CodeJobEnded, "the job has ended"))
 		}
 	}
 }
 
-func (w *Worker) forgetEnded(messages []AssignmentMessage) {
+func (w *Worker) removeFinished(messages []AssignmentMessage) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, message := range messages {
--- a/internal/batch/coordinator.go
+++ b/internal/batch/coordinator.go
@@ -22,7 +22,8 @@
 	"topazpulley/internal/periodic"
 )
 
-// PrefixBacklog starts the keys of gossip items that announce waiting chunks.
+// PrefixBacklog is the key prefix of the gossip items that announce waiting
+// chunks.
 const PrefixBacklog = "work/"
 
 const (
@@ -35,9 +36,9 @@
 // WeightFunc returns a tenant's share of batch capacity.
 type WeightFunc func(tenant string) int
 
-// Coordinator holds the shards whose duty falls to this daemon: it finds open
-// jobs, hands out chunks, notices lost workers and completes jobs. mutex
-// guards shards and announced.
+// Coordinator coordinates the shards that this daemon owns: it loads open jobs,
+// assigns chunks, reclaims the chunks of lost workers and completes jobs. mutex
+// guards the fields below it.
 type Coordinator struct {
 	store     *Store
 	node      *cluster.Node
@@ -49,31 +50,32 @@
 	shards    map[int]*Shard
 	announced map[int]announcement
 	loadedAt  map[int]time.Time
+	// completed contains the jobs whose completion has begun.
 	completed map[string]bool
 }
 
-// announcement is what was last gossiped of a shard.
+// announcement is the last backlog published for a shard.
 type announcement struct {
-	backlog Backlog
-	at      time.Time
+	backlog     Backlog
+	publishedAt time.Time
 }
 
-// NewCoordinator makes a coordinator and registers its peer methods.
+// NewCoordinator returns a coordinator and registers its peer methods.
 func NewCoordinator(store *Store, node *cluster.Node, transport *peer.Transport, weight WeightFunc, log *slog.Logger) *Coordinator {
 	coordinator := &Coordinator{
 		store: store, node: node, transport: transport, weight: weight, log: log,
 		shards: map[int]*Shard{}, announced: map[int]announcement{}, loadedAt: map[int]time.Time{}, completed: map[string]bool{},
 	}
-	peer.Handle(transport, MethodWork, coordinator.answerWork)
-	peer.Handle(transport, MethodProgress, coordinator.answerProgress)
-	peer.Handle(transport, MethodNotify, coordinator.answerNotice)
+	peer.Handle(transport, MethodWork, coordinator.handleWork)
+	peer.Handle(transport, MethodProgress, coordinator.handleProgress)
+	peer.Handle(transport, MethodNotify, coordinator.handleNotice)
 	return coordinator
 }
 
-// ShardDuty is the rendezvous key of a shard.
+// ShardDuty returns the rendezvous hashing key of a shard.
 func ShardDuty(shard int) string { return "shard/" + strconv.Itoa(shard) }
 
-// Run coordinates until the context ends.
+// Run coordinates the owned shards until the context ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	periodic.Run(ctx, coordinateInterval, func() { c.step(ctx) })
 }
@@ -86,11 +88,11 @@
 			c.stepShard(ctx, shard, names)
 			continue
 		}
-		c.drop(shard)
+		c.dropShard(shard)
 	}
 }
 
-func (c *Coordinator) drop(shard int) {
+func (c *Coordinator) dropShard(shard int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.shards, shard)
@@ -99,19 +101,19 @@
 }
 
 func (c *Coordinator) stepShard(ctx context.Context, shard int, names []string) {
-	if c.refreshDue(shard) {
+	if c.isRefreshDue(shard) {
 		go c.refresh(ctx, shard)
 	}
 	isLive := func(worker string) bool { return slices.Contains(names, worker) }
 	c.mutex.Lock()
-	held, loaded := c.shards[shard]
+	state, loaded := c.shards[shard]
 	if !loaded {
 		c.mutex.Unlock()
 		return
 	}
-	reclaimed := held.Reclaim(isLive, time.Now())
+	reclaimed := state.Reclaim(isLive, time.Now())
 	finished := []string{}
-	for _, job := range held.Finished() {
+	for _, job := range state.Finished() {
 		if !c.completed[job] {
 			c.completed[job] = true
 			finished = append(finished, job)
@@ -127,9 +129,9 @@
 	c.announce(shard)
 }
 
-// refreshDue reports whether the shard's open jobs are due to be read and
-// reserves the read.
-func (c *Coordinator) refreshDue(shard int) bool {
+// isRefreshDue reports whether the shard's open jobs are due to be read. If so,
+// it records the read as begun.
+func (c *Coordinator) isRefreshDue(shard int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if time.Since(c.loadedAt[shard]) < openJobsInterval {
@@ -139,7 +141,7 @@
 	return true
 }
 
-// refresh reads the shard's open jobs, adds new ones and drops ended ones.
+// refresh reads the shard's open jobs, adds new ones and removes ended ones.
 func (c *Coordinator) refresh(ctx context.Context, shard int) {
 	bounded, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
@@ -149,12 +151,12 @@
 		return
 	}
 	c.mutex.Lock()
-	held, loaded := c.shards[shard]
+	state, loaded := c.shards[shard]
 	if !loaded {
-		held = NewShard()
-		c.shards[shard] = held
+		state = NewShard()
+		c.shards[shard] = state
 	}
-	known := held.JobIDs()
+	known := state.JobIDs()
 	c.mutex.Unlock()
 	for _, job := range open {
 		if !slices.Contains(known, job) {
@@ -169,10 +171,10 @@
 		if slices.Contains(open, job) {
 			continue
 		}
-		// A job that was added after the scan began is read again before it
-		// is dropped.
-		present, _, err := c.store.Job(ctx, job)
-		if err == nil && present.State != StateRunning {
+		// The job may have been added after the scan began, so its state is
+		// read before it is removed.
+		current, _, err := c.store.Job(ctx, job)
+		if err == nil && current.State != StateRunning {
 			c.removeJob(shard, job)
 		}
 	}
@@ -181,8 +183,8 @@
 func (c *Coordinator) removeJob(shard int, job string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if held, loaded := c.shards[shard]; loaded {
-		held.RemoveJob(job)
+	if state, loaded := c.shards[shard]; loaded {
+		state.RemoveJob(job)
 	}
 	delete(c.completed, job)
 }
@@ -200,15 +202,16 @@
 	isLive := func(worker string) bool { return slices.Contains(names, worker) }
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held, loaded := c.shards[shard]
-	if !loaded || held.Knows(id) {
+	state, loaded := c.shards[shard]
+	if !loaded || state.HasJob(id) {
 		return
 	}
-	held.AddJob(job, c.weight(job.Tenant), chunks, isLive, time.Now())
+	state.AddJob(job, c.weight(job.Tenant), chunks, isLive, time.Now())
 	c.log.Info("job_tracked", "job", id, "tenant", job.Tenant, "items", job.Items, "chunks", job.Chunks, "claimed", len(chunks))
 }
 
-// complete ends a job after reading that every chunk is done.
+// complete marks a job as done. It first reads the job's chunks to check that
+// every item has a result.
 func (c *Coordinator) complete(ctx context.Context, shard int, id string) {
 	err := c.tryComplete(ctx, shard, id)
 	if err != nil {
@@ -256,23 +259,24 @@
 	return items, failed, nil
 }
 
-// announce gossips the shard's backlog when it changed or needs a refresh.
+// announce publishes the shard's backlog if it became empty or non-empty, or, for
+// a non-empty backlog, if the last announcement is stale.
 func (c *Coordinator) announce(shard int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held, loaded := c.shards[shard]
+	state, loaded := c.shards[shard]
 	if !loaded {
 		return
 	}
 	backlog := Backlog{}
-	for service, chunks := range held.Backlog() {
+	for service, chunks := range state.Backlog() {
 		backlog.Services = append(backlog.Services, ServiceBacklog{Service: service, Chunks: chunks})
 	}
 	sort.Slice(backlog.Services, func(a, b int) bool { return backlog.Services[a].Service < backlog.Services[b].Service })
 	last, known := c.announced[shard]
 	isEmpty := len(backlog.Services) == 0
 	wasEmpty := !known || len(last.backlog.Services) == 0
-	isStale := time.Since(last.at) > backlogRefreshInterval
+	isStale := time.Since(last.publishedAt) > backlogRefreshInterval
 	if (isEmpty && wasEmpty) || (isEmpty == wasEmpty && !isStale) {
 		return
 	}
@@ -280,11 +284,11 @@
 	if err != nil {
 		return
 	}
-	c.announced[shard] = announcement{backlog: backlog, at: time.Now()}
+	c.announced[shard] = announcement{backlog: backlog, publishedAt: time.Now()}
 	c.node.Publish(membership.Item{Key: PrefixBacklog + strconv.Itoa(shard), Priority: membership.PriorityLoad, Payload: payload})
 }
 
-// DecodeBacklog reads the shard and backlog of a gossip item.
+// DecodeBacklog returns the shard and backlog of a gossip item.
 func DecodeBacklog(item membership.Item) (int, Backlog, error) {
 	backlog := Backlog{}
 	shard, err := strconv.Atoi(strings.TrimPrefix(item.Key, PrefixBacklog))
@@ -295,49 +299,49 @@
 	return shard, backlog, err
 }
 
-func (c *Coordinator) shardOrRefuse(shard int) (*Shard, error) {
-	held, loaded := c.shards[shard]
+func (c *Coordinator) requireShard(shard int) (*Shard, error) {
+	state, loaded := c.shards[shard]
 	if !loaded {
 		return nil, failure.New(failure.KindUnavailable, "not_coordinator", "this daemon does not coordinate shard %d", shard).WithNotRun()
 	}
-	return held, nil
+	return state, nil
 }
 
-func (c *Coordinator) answerWork(_ context.Context, _ string, request WorkRequest) (WorkAnswer, error) {
+func (c *Coordinator) handleWork(_ context.Context, _ string, request WorkRequest) (WorkAnswer, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	answer := WorkAnswer{}
-	held, err := c.shardOrRefuse(request.Shard)
+	state, err := c.requireShard(request.Shard)
 	if err != nil {
 		return answer, err
 	}
-	for _, assignment := range held.Assign(request.Worker, request.Service, request.Chunks, time.Now()) {
+	for _, assignment := range state.Assign(request.Worker, request.Service, request.Chunks, time.Now()) {
 		answer.Assignments = append(answer.Assignments, AssignmentMessage{Job: assignment.Job, Chunk: assignment.Chunk})
 	}
 	return answer, nil
 }
 
-func (c *Coordinator) answerProgress(_ context.Context, _ string, report ProgressReport) (ProgressAnswer, error) {
+func (c *Coordinator) handleProgress(_ context.Context, _ string, report ProgressReport) (ProgressAnswer, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	answer := ProgressAnswer{}
-	held, err := c.shardOrRefuse(report.Shard)
+	state, err := c.requireShard(report.Shard)
 	if err != nil {
 		return answer, err
 	}
 	for _, message := range report.Assignments {
-		if !held.Report(report.Worker, message, time.Now()) && !slices.Contains(answer.Ended, message.Job) {
+		if !state.Report(report.Worker, message, time.Now()) && !slices.Contains(answer.Ended, message.Job) {
 			answer.Ended = append(answer.Ended, message.Job)
 		}
 	}
 	return answer, nil
 }
 
-func (c *Coordinator) answerNotice(ctx context.Context, _ string, notice JobNotice) (peer.Empty, error) {
+func (c *Coordinator) handleNotice(ctx context.Context, _ string, notice JobNotice) (peer.Empty, error) {
 	shard := ShardOf(notice.Job)
 	c.mutex.Lock()
-	held, loaded := c.shards[shard]
-	isKnown := loaded && held.Knows(notice.Job)
+	state, loaded := c.shards[shard]
+	isKnown := loaded && state.HasJob(notice.Job)
 	c.mutex.Unlock()
 	if !loaded {
 		return peer.Empty{}, nil
@@ -355,8 +359,9 @@
 	return peer.Empty{}, nil
 }
 
-// Notify tells the coordinator of a job's shard that the job was created or
-// cancelled. Failure is harmless: the coordinator's next scan finds it.
+// Notify notifies the coordinator of a job's shard that the job was created or
+// cancelled. An error is only logged: the coordinator's next scan finds the
+// change.
 func (c *Coordinator) Notify(ctx context.Context, job string) {
 	owner := duty.Owner(ShardDuty(ShardOf(job)), c.node.AllNames())
 	member, known := c.node.Member(owner)
@@ -364,7 +369,7 @@
 		return
 	}
 	if owner == c.node.Self().Name {
-		_, _ = c.answerNotice(ctx, owner, JobNotice{Job: job})
+		_, _ = c.handleNotice(ctx, owner, JobNotice{Job: job})
 		return
 	}
 	_, err := peer.Call[JobNotice, peer.Empty](ctx, c.transport, member.Address, MethodNotify, JobNotice{Job: job})
@@ -373,7 +378,7 @@
 	}
 }
 
-// Describe names the coordinator's duties, for status.
+// Describe returns the number of shards and open jobs, for status output.
 func (c *Coordinator) Describe() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -17,7 +17,7 @@
 // ShardOf returns the shard of a job.
 func ShardOf(job string) int { return int(xxhash.Sum64String(job) % ShardCount) }
 
-// State is the life cycle of a job.
+// State is the state of a job.
 type State string
 
 // The states of a job. StateDone and StateCancelled are final.
@@ -27,8 +27,9 @@
 	StateDone      State = "done"
 )
 
-// Job is the durable state of a job. The row changes only on state
-// transitions, so that its version tells chunk commits that the job still runs.
+// Job is the durable state of a job. Its row changes only on state transitions,
+// so a chunk commit with an unchanged row version proves that the job is still
+// running.
 type Job struct {
 	ID      string `json:"id"`
 	Tenant  string `json:"tenant"`
@@ -37,12 +38,14 @@
 	// InputFile is the id of the JSONL file.
 	InputFile string `json:"input_file"`
 	Endpoint  string `json:"endpoint"`
-	// Items is the number of items, and Chunks that of chunks.
+	// Items and Chunks are numbers of items and chunks; ChunkSize is the number
+	// of items in each chunk but the last.
 	Items     int   `json:"items"`
 	ChunkSize int   `json:"chunk_size"`
 	Chunks    int   `json:"chunks"`
 	State     State `json:"state"`
-	// Created and Deadline are Unix times in milliseconds; Ended too, or 0.
+	// Created, Deadline and Ended are Unix times in milliseconds. Ended is 0
+	// while the job runs.
 	Created  int64 `json:"created"`
 	Deadline int64 `json:"deadline"`
 	Ended    int64 `json:"ended"`
@@ -52,20 +55,20 @@
 	Metadata  map[string]string `json:"metadata,omitempty"`
 }
 
-// Identity is the durable record of a client's key.
+// Identity is the durable record of an idempotency key.
 type Identity struct {
 	Job    string `json:"job"`
 	Digest string `json:"digest"`
 }
 
-// JobID derives the id of a job from its tenant and key, so that a resend
-// finds the same job without reading anything.
+// JobID derives the id of a job from its tenant and idempotency key, so that a
+// repeated submission has the same id.
 func JobID(tenant, key string) string {
 	sum := sha256.Sum256([]byte(tenant + "\x00" + key))
 	return "batch_" + hex.EncodeToString(sum[:12])
 }
 
-// ContentDigest identifies what a job asks for.
+// ContentDigest returns the digest of a job's input file and endpoint.
 func ContentDigest(inputFile, endpoint string) string {
 	sum := sha256.Sum256([]byte(inputFile + "\x00" + endpoint))
 	return hex.EncodeToString(sum[:])
@@ -74,34 +77,36 @@
 // ChunkItems returns the number of items in a chunk.
 func (j Job) ChunkItems(number int) int { return min(j.ChunkSize, j.Items-number*j.ChunkSize) }
 
-// ManifestObject names the chunk offsets of a job. The content is part of the
-// name: a refused job with the same key may have left another manifest.
+// ManifestObject returns the object name of the job's manifest. The name includes
+// the content digest because a rejected job with the same key may have stored
+// another manifest.
 func (j Job) ManifestObject() string {
 	return "manifests/" + j.ID + "/" + ContentDigest(j.InputFile, j.Endpoint)
 }
 
-// InputObject names the job's input file.
+// InputObject returns the object name of the job's input file.
 func (j Job) InputObject() string { return FileObject(j.Tenant, j.InputFile) }
 
-// FileObject names a tenant's uploaded file in the object store.
+// FileObject returns the object name of a tenant's uploaded file.
 func FileObject(tenant, id string) string { return "files/" + tenant + "/" + id }
 
-// Manifest gives the byte range of every chunk in the input file.
+// Manifest contains the byte offsets of the chunks in the input file.
 type Manifest struct {
-	// Offsets has one entry per chunk and one for the end of the file.
+	// Offsets has the start of each chunk and, last, the end of the last chunk.
 	Offsets []int64 `json:"offsets"`
 }
 
 const (
 	minChunkSize = 16
 	maxChunkSize = 256
-	// targetChunks is the number of chunks that small jobs are split into, so
-	// that several engines share them.
+	// targetChunks is the number of chunks that a job is split into if the
+	// chunk size limits allow it.
 	targetChunks = 8
 )
 
-// ChunkSizeFor chooses the chunk size of a job: small jobs are spread over
-// several chunks, large ones keep the number of rows low.
+// ChunkSizeFor returns the chunk size of a job, in items. Small jobs are split so
+// that several engines can run them; large jobs use large chunks to limit the
+// number of table rows.
 func ChunkSizeFor(items int) int {
 	return min(max((items+targetChunks-1)/targetChunks, minChunkSize), maxChunkSize)
 }
@@ -114,7 +119,7 @@
 	Error    *ResultError    `json:"error"`
 }
 
-// ResultResponse is the answer of a completed item.
+// ResultResponse is the response to a completed item.
 type ResultResponse struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
--- a/internal/batch/jsonl.go
+++ b/internal/batch/jsonl.go
@@ -14,7 +14,7 @@
 	MaxTokens    = 1 << 16
 )
 
-// defaultMaxTokens applies to an item that states no limit.
+// defaultMaxTokens is the token limit of an item without max_tokens.
 const defaultMaxTokens = 64
 
 // Endpoints that a batch may call.
@@ -33,7 +33,7 @@
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
-// ItemBody is the part of an item's request that the system reads.
+// ItemBody contains the fields of an item's request body that are used.
 type ItemBody struct {
 	Model     string          `json:"model"`
 	Prompt    json.RawMessage `json:"prompt,omitempty"`
@@ -63,14 +63,14 @@
 // Input is a parsed batch input file.
 type Input struct {
 	Items int
-	// Models lists the models that the items name, each once.
+	// Models are the distinct models of the items.
 	Models []string
-	// LineEnds holds the byte offset after each line.
+	// LineEnds are the byte offsets after each item's line.
 	LineEnds []int64
 }
 
-// ParseInput checks every line of a batch input file for an endpoint. The
-// error of a bad line carries its number.
+// ParseInput validates every line of a batch input file for an endpoint. The
+// error for an invalid line includes the line number.
 func ParseInput(content []byte, endpoint string) (Input, error) {
 	parsed := Input{}
 	seen := map[string]int{}
@@ -81,7 +81,7 @@
 			return failure.From(err).WithLine(number)
 		}
 		if first, duplicate := seen[item.CustomID]; duplicate {
-			return badLine("duplicate_custom_id", "custom_id %q stands on line %d already", item.CustomID, first).WithLine(number)
+			return badLine("duplicate_custom_id", "custom_id %q is already used on line %d", item.CustomID, first).WithLine(number)
 		}
 		seen[item.CustomID] = number
 		if !models[item.Body.Model] {
@@ -91,7 +91,7 @@
 		parsed.LineEnds = append(parsed.LineEnds, end)
 		parsed.Items++
 		if parsed.Items > MaxItems {
-			return failure.New(failure.KindTooLarge, "too_many_items", "a job holds at most %d items: split the file", MaxItems).WithLine(number)
+			return failure.New(failure.KindTooLarge, "too_many_items", "a job can have at most %d items: split the file", MaxItems).WithLine(number)
 		}
 		return nil
 	})
@@ -105,8 +105,8 @@
 	return failure.New(failure.KindInvalid, code, format, arguments...)
 }
 
-// forEachLine visits the non-empty lines with their 1-based numbers and the
-// offset behind each.
+// forEachLine calls visit for each non-empty line with its 1-based number and the
+// byte offset after it.
 func forEachLine(content []byte, visit func(number int, line []byte, end int64) error) error {
 	offset, number := 0, 0
 	for offset < len(content) {
@@ -129,24 +129,24 @@
 	return nil
 }
 
-// ParseItem checks one line for an endpoint.
+// ParseItem parses and validates one line for an endpoint.
 func ParseItem(line []byte, endpoint string) (Item, error) {
 	item := Item{}
 	if len(line) > MaxLineBytes {
-		return item, failure.New(failure.KindTooLarge, "line_too_long", "a line holds at most %d bytes", MaxLineBytes)
+		return item, failure.New(failure.KindTooLarge, "line_too_long", "a line can have at most %d bytes", MaxLineBytes)
 	}
 	if err := json.Unmarshal(line, &item); err != nil {
 		return item, failure.Wrap(err, failure.KindInvalid, "bad_json", "the line is not a JSON object of the expected types")
 	}
 	switch {
 	case item.CustomID == "":
-		return item, badLine("no_custom_id", "give the item a custom_id")
+		return item, badLine("no_custom_id", "custom_id is required")
 	case item.Method != "" && item.Method != "POST":
 		return item, badLine("bad_method", "method must be POST")
 	case item.URL != "" && item.URL != endpoint:
 		return item, badLine("bad_url", "url must be the batch's endpoint %s", endpoint)
 	case item.Body.Model == "":
-		return item, badLine("no_model", "name a model in body.model")
+		return item, badLine("no_model", "body.model is required")
 	case item.Body.MaxTokens < 0 || item.Body.MaxTokens > MaxTokens:
 		return item, badLine("bad_max_tokens", "max_tokens must be from 1 to %d", MaxTokens)
 	}
@@ -155,10 +155,10 @@
 
 func checkItemInput(body ItemBody, endpoint string) error {
 	if endpoint == EndpointCompletions && len(body.Prompt) == 0 {
-		return badLine("no_prompt", "give body.prompt")
+		return badLine("no_prompt", "body.prompt is required")
 	}
 	if endpoint == EndpointChatCompletions && len(body.Messages) == 0 {
-		return badLine("no_messages", "give body.messages")
+		return badLine("no_messages", "body.messages is required")
 	}
 	if endpoint != EndpointCompletions && endpoint != EndpointChatCompletions {
 		return badLine("bad_endpoint", "endpoint must be %s or %s", EndpointCompletions, EndpointChatCompletions)
@@ -177,7 +177,7 @@
 	return items, err
 }
 
-// ManifestFor computes the chunk offsets of an input.
+// ManifestFor returns the chunk offsets of an input.
 func ManifestFor(input Input, chunkSize int) Manifest {
 	manifest := Manifest{Offsets: []int64{0}}
 	for end := chunkSize; end < input.Items; end += chunkSize {
--- a/internal/batch/messages.go
+++ b/internal/batch/messages.go
@@ -6,14 +6,15 @@
 	"topazpulley/internal/avrocodec"
 )
 
-// Methods of the peer protocol that coordinators answer.
+// Peer methods that coordinators handle.
 const (
 	MethodWork     = "batch.work"
 	MethodProgress = "batch.progress"
 	MethodNotify   = "batch.notify"
 )
 
-// WorkRequest asks a shard's coordinator for chunks.
+// WorkRequest requests up to Chunks chunks of a service from a shard's
+// coordinator.
 type WorkRequest struct {
 	Worker  string
 	Shard   int
@@ -21,12 +22,13 @@
 	Chunks  int
 }
 
-// WorkAnswer hands out chunks.
+// WorkAnswer contains the chunks assigned to the worker.
 type WorkAnswer struct {
 	Assignments []AssignmentMessage
 }
 
-// AssignmentMessage names a chunk and, in progress reports, what became of it.
+// AssignmentMessage identifies a chunk and, in progress reports, whether it is
+// done or released.
 type AssignmentMessage struct {
 	Job      string
 	Chunk    int
@@ -34,20 +36,20 @@
 	Released bool
 }
 
-// ProgressReport tells a coordinator what a worker holds, has finished and
-// has released since its last report.
+// ProgressReport lists the chunks of a shard that a worker runs, has finished or
+// has released.
 type ProgressReport struct {
 	Worker      string
 	Shard       int
 	Assignments []AssignmentMessage
 }
 
-// ProgressAnswer names the reported jobs that do not run any more.
+// ProgressAnswer lists the reported jobs that are no longer tracked.
 type ProgressAnswer struct {
 	Ended []string
 }
 
-// JobNotice tells a coordinator that a job was created or cancelled.
+// JobNotice notifies a coordinator that a job was created or cancelled.
 type JobNotice struct {
 	Job string
 }
@@ -57,7 +59,7 @@
 	Services []ServiceBacklog
 }
 
-// ServiceBacklog counts the waiting chunks of one service.
+// ServiceBacklog is the number of waiting chunks of one service.
 type ServiceBacklog struct {
 	Service string
 	Chunks  int
--- a/internal/batch/model_test.go
+++ b/internal/batch/model_test.go
@@ -20,48 +20,46 @@
 const (
 	modelItems  = 5
 	modelOwners = 3
-	modelJob    = "job"
-	manyCalls   = 1e9
+	modelJobID  = "job"
+	maxCalls    = 1e9
 )
 
-// chunkModel drives the real Store with the actions of spec/chunk.pml: owners
-// claim, run, commit, crash and lose answers, and the tenant cancels. The
-// invariants have the same names there.
+// chunkModel runs the actions of spec/chunk.pml against Store: owners claim,
+// dispatch, commit, crash and lose answers, and the tenant cancels. The failure
+// messages use the invariant names of the specification.
 type chunkModel struct {
-	store      *batch.Store
-	loseNext   bool
-	job        batch.Job
-	jobVersion storage.Version
-	held       map[string]batch.HeldChunk
-	sequence   map[string]int
-	dispatched map[int]int
-	lives      int
-	cancelled  bool
-	atCancel   int
-	// acknowledged holds the result of each item whose commit an owner saw
-	// succeed.
+	store             *batch.Store
+	loseNext          bool
+	job               batch.Job
+	jobVersion        storage.Version
+	claimed           map[string]batch.ClaimedChunk
+	sequence          map[string]int
+	dispatched        map[int]int
+	attempts          int
+	cancelled         bool
+	committedAtCancel int
+	// acknowledged is the result line of each item whose commit returned success.
 	acknowledged map[int]string
 }
 
 func newChunkModel(t *rapid.T) *chunkModel {
-	model := &chunkModel{held: map[string]batch.HeldChunk{}, sequence: map[string]int{}, dispatched: map[int]int{}, acknowledged: map[int]string{}}
+	model := &chunkModel{claimed: map[string]batch.ClaimedChunk{}, sequence: map[string]int{}, dispatched: map[int]int{}, acknowledged: map[int]string{}}
 	services := &emulator.InProcess{Platform: emulator.NewPlatform(), LoseAnswer: func() bool {
 		lost := model.loseNext
 		model.loseNext = false
 		return lost
 	}}
-	model.store = batch.NewStore(storage.NewClient(services, manyCalls))
-	job := batch.Job{ID: modelJob, Tenant: "tenant", Key: "key", Items: modelItems, ChunkSize: modelItems, Chunks: 1, State: batch.StateRunning}
+	model.store = batch.NewStore(storage.NewClient(services, maxCalls))
+	job := batch.Job{ID: modelJobID, Tenant: "tenant", Key: "key", Items: modelItems, ChunkSize: modelItems, Chunks: 1, State: batch.StateRunning}
 	_, err := model.store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
-	model.job, model.jobVersion, err = model.store.Job(t.Context(), modelJob)
+	model.job, model.jobVersion, err = model.store.Job(t.Context(), modelJobID)
 	require.NoError(t, err)
 	return model
 }
 
-// once returns a context in which a lost answer is not retried, as for a
-// caller that gave up.
-func once() context.Context {
+// noRetry returns a context that ends before a lost answer is retried.
+func noRetry() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(time.Millisecond, cancel)
 	return ctx
@@ -71,30 +69,30 @@
 	return fmt.Sprintf("owner-%d", rapid.IntRange(0, modelOwners-1).Draw(t, "owner"))
 }
 
-// holder draws an owner that believes to hold the chunk.
-func (m *chunkModel) holder(t *rapid.T) (string, batch.HeldChunk) {
-	if len(m.held) == 0 {
+// holder draws an owner with a claim that may be stale.
+func (m *chunkModel) holder(t *rapid.T) (string, batch.ClaimedChunk) {
+	if len(m.claimed) == 0 {
 		t.Skip("nobody holds the chunk")
 	}
-	owner := rapid.SampledFrom(slices.Sorted(maps.Keys(m.held))).Draw(t, "holder")
-	return owner, m.held[owner]
+	owner := rapid.SampledFrom(slices.Sorted(maps.Keys(m.claimed))).Draw(t, "holder")
+	return owner, m.claimed[owner]
 }
 
 func (m *chunkModel) claim(t *rapid.T) {
 	owner := m.owner(t)
 	m.loseNext = rapid.IntRange(0, 5).Draw(t, "lose") == 3
-	held, err := m.store.Claim(once(), m.job, m.jobVersion, 0, owner)
-	if err == nil && !held.Chunk.Done {
-		m.held[owner] = held
+	claimed, err := m.store.Claim(noRetry(), m.job, m.jobVersion, 0, owner)
+	if err == nil && !claimed.Chunk.Done {
+		m.claimed[owner] = claimed
 		m.sequence[owner] = 0
 		return
 	}
-	delete(m.held, owner)
+	delete(m.claimed, owner)
 }
 
 func (m *chunkModel) commit(t *rapid.T) {
-	owner, held := m.holder(t)
-	remaining := held.Chunk.Remaining()
+	owner, claimed := m.holder(t)
+	remaining := claimed.Chunk.Remaining()
 	if len(remaining) == 0 {
 		t.Skip("nothing to commit")
 	}
@@ -102,65 +100,66 @@
 	segment := batch.Segment{Sequence: m.sequence[owner], Items: remaining[:count]}
 	lines := [][]byte{}
 	for _, item := range segment.Items {
-		lines = append(lines, []byte(fmt.Sprintf("%d by %s in %d", item, owner, held.Chunk.Epoch)))
+		lines = append(lines, []byte(fmt.Sprintf("%d by %s in %d", item, owner, claimed.Chunk.Epoch)))
 	}
 	m.loseNext = rapid.IntRange(0, 5).Draw(t, "lose") == 3
-	next, err := m.store.Commit(once(), held, segment, lines)
+	next, err := m.store.Commit(noRetry(), claimed, segment, lines)
 	if err != nil && rapid.Bool().Draw(t, "retry") {
-		next, err = m.store.Commit(context.Background(), held, segment, lines)
+		next, err = m.store.Commit(context.Background(), claimed, segment, lines)
 	}
 	if err != nil {
-		delete(m.held, owner)
+		delete(m.claimed, owner)
 		return
 	}
-	m.held[owner] = next
+	m.claimed[owner] = next
 	m.sequence[owner]++
 	for index, item := range segment.Items {
 		m.acknowledged[item] = string(lines[index])
 	}
 }
 
-// dispatch sends an item that may not be repeated, after its intent.
+// dispatch records the intent of an item that must run at most once, then
+// counts the item as sent.
 func (m *chunkModel) dispatch(t *rapid.T) {
-	owner, held := m.holder(t)
-	remaining := held.Chunk.Remaining()
+	owner, claimed := m.holder(t)
+	remaining := claimed.Chunk.Remaining()
 	if len(remaining) == 0 {
 		t.Skip("nothing to send")
 	}
 	item := rapid.SampledFrom(remaining).Draw(t, "item")
-	if _, recorded := held.Chunk.IntentFor(item); recorded {
+	if _, recorded := claimed.Chunk.IntentFor(item); recorded {
 		t.Skip("already sent")
 	}
-	m.lives++
+	m.attempts++
 	m.loseNext = rapid.IntRange(0, 5).Draw(t, "lose") == 3
-	next, err := m.store.RecordIntents(once(), held, []batch.Intent{{Item: item, AttemptID: fmt.Sprint(owner, m.lives)}})
+	next, err := m.store.RecordIntents(noRetry(), claimed, []batch.Intent{{Item: item, AttemptID: fmt.Sprint(owner, m.attempts)}})
 	if err != nil {
-		delete(m.held, owner)
+		delete(m.claimed, owner)
 		return
 	}
-	m.held[owner] = next
+	m.claimed[owner] = next
 	m.dispatched[item]++
 }
 
-// crash makes an owner forget what it held. An owner that pauses instead is any
-// owner that is not chosen for a while.
-func (m *chunkModel) crash(t *rapid.T) { delete(m.held, m.owner(t)) }
+// crash removes an owner's claim. A paused owner needs no action: it is one that
+// is not drawn for some steps.
+func (m *chunkModel) crash(t *rapid.T) { delete(m.claimed, m.owner(t)) }
 
 func (m *chunkModel) cancel(t *rapid.T) {
-	// Drawn numbers favour the ends of their range.
+	// rapid draws the ends of a range more often, so the value is in its middle.
 	if rapid.IntRange(0, 99).Draw(t, "rarely") != 42 {
 		t.Skip("not cancelled")
 	}
-	ended, err := m.store.Cancel(context.Background(), modelJob, time.Now())
+	ended, err := m.store.Cancel(context.Background(), modelJobID, time.Now())
 	require.NoError(t, err)
 	if ended.State == batch.StateCancelled && !m.cancelled {
 		m.cancelled = true
-		m.atCancel = m.committed(t)
+		m.committedAtCancel = m.committed(t)
 	}
 }
 
 func (m *chunkModel) committed(t *rapid.T) int {
-	chunks, err := m.store.Chunks(context.Background(), modelJob)
+	chunks, err := m.store.Chunks(context.Background(), modelJobID)
 	require.NoError(t, err)
 	count := 0
 	for _, chunk := range chunks {
@@ -171,7 +170,7 @@
 
 func (m *chunkModel) check(t *rapid.T) {
 	seen := map[int]string{}
-	err := m.store.EachResult(context.Background(), modelJob, func(line []byte) error {
+	err := m.store.EachResult(context.Background(), modelJobID, func(line []byte) error {
 		item := 0
 		_, err := fmt.Sscanf(string(line), "%d", &item)
 		require.NoError(t, err)
@@ -188,25 +187,25 @@
 		require.LessOrEqual(t, count, 1, "DispatchedOnce: item %d", item)
 	}
 	if m.cancelled {
-		require.Equal(t, m.atCancel, m.committed(t), "NothingAfterCancel")
+		require.Equal(t, m.committedAtCancel, m.committed(t), "NothingAfterCancel")
 	}
 }
 
-// finish lets one owner that nothing disturbs run the rest.
+// finish claims the chunk for one more owner and commits the remaining items.
 func (m *chunkModel) finish(t *rapid.T) {
 	m.loseNext = false
-	held, err := m.store.Claim(context.Background(), m.job, m.jobVersion, 0, "last")
+	claimed, err := m.store.Claim(context.Background(), m.job, m.jobVersion, 0, "last")
 	if m.cancelled {
-		require.True(t, err != nil || held.Chunk.Done, "nothing is claimed after a cancel")
+		require.True(t, err != nil || claimed.Chunk.Done, "nothing is claimed after a cancel")
 		return
 	}
 	require.NoError(t, err)
-	if remaining := held.Chunk.Remaining(); len(remaining) > 0 {
+	if remaining := claimed.Chunk.Remaining(); len(remaining) > 0 {
 		lines := make([][]byte, len(remaining))
 		for index, item := range remaining {
 			lines[index] = []byte(fmt.Sprint(item))
 		}
-		_, err = m.store.Commit(context.Background(), held, batch.Segment{Items: remaining}, lines)
+		_, err = m.store.Commit(context.Background(), claimed, batch.Segment{Items: remaining}, lines)
 		require.NoError(t, err)
 	}
 	require.Equal(t, modelItems, m.committed(t), "NoneLost")
@@ -224,9 +223,9 @@
 	})
 }
 
-// TestChunkRefusesAnOldEpoch holds for the pure state machine by itself.
-func TestChunkRefusesAnOldEpoch(t *testing.T) {
-	first := batch.Chunk{Job: modelJob, Items: 2}.Claim("a")
+// TestChunkRejectsStaleEpoch checks Chunk without Store.
+func TestChunkRejectsStaleEpoch(t *testing.T) {
+	first := batch.Chunk{Job: modelJobID, Items: 2}.Claim("a")
 	second := first.Claim("b")
 	_, err := second.Commit("a", batch.Segment{Epoch: first.Epoch, Items: []int{0}})
 	require.Error(t, err)
@@ -238,8 +237,9 @@
 	require.Error(t, err)
 }
 
-func TestIntentIsReplacedOnlyByItsOwnRefusal(t *testing.T) {
-	chunk := batch.Chunk{Job: modelJob, Items: 1}.Claim("a")
+// TestOnlyRefusedIntentIsReplaced guards against sending an item twice.
+func TestOnlyRefusedIntentIsReplaced(t *testing.T) {
+	chunk := batch.Chunk{Job: modelJobID, Items: 1}.Claim("a")
 	chunk, err := chunk.RecordIntents("a", 1, []batch.Intent{{Item: 0, AttemptID: "one"}})
 	require.NoError(t, err)
 	_, err = chunk.RecordIntents("a", 1, []batch.Intent{{Item: 0, AttemptID: "two"}})
@@ -249,8 +249,8 @@
 	require.Len(t, chunk.Intents, 1)
 }
 
-func TestResentJobIsTheSameJob(t *testing.T) {
-	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, manyCalls))
+func TestCreateReturnsExistingJob(t *testing.T) {
+	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, maxCalls))
 	job := batch.Job{ID: batch.JobID("tenant", "key"), Tenant: "tenant", Key: "key", Items: 1, ChunkSize: 1, Chunks: 1, State: batch.StateRunning, Created: 1}
 	_, err := store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
@@ -258,30 +258,30 @@
 	resent.Created = 2
 	again, err := store.Create(t.Context(), resent, "digest")
 	require.NoError(t, err)
-	require.Equal(t, job.Created, again.Created, "the first job is found, not made anew")
+	require.Equal(t, job.Created, again.Created, "the existing job is returned")
 	_, err = store.Create(t.Context(), resent, "other content")
 	require.True(t, failure.HasCode(err, "key_reused"))
 	require.True(t, failure.From(err).NotRun)
 }
 
-// TestNothingIsCommittedAfterACancel: an owner that has not heard of the end of
-// its job commits nothing more.
-func TestNothingIsCommittedAfterACancel(t *testing.T) {
-	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, manyCalls))
-	job := batch.Job{ID: modelJob, Tenant: "tenant", Key: "key", Items: 2, ChunkSize: 2, Chunks: 1, State: batch.StateRunning}
+// TestCommitAfterCancelFails guards against commits by an owner that has not been
+// notified of the cancellation.
+func TestCommitAfterCancelFails(t *testing.T) {
+	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, maxCalls))
+	job := batch.Job{ID: modelJobID, Tenant: "tenant", Key: "key", Items: 2, ChunkSize: 2, Chunks: 1, State: batch.StateRunning}
 	_, err := store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
-	created, version, err := store.Job(t.Context(), modelJob)
+	created, version, err := store.Job(t.Context(), modelJobID)
 	require.NoError(t, err)
-	held, err := store.Claim(t.Context(), created, version, 0, "owner")
+	claimed, err := store.Claim(t.Context(), created, version, 0, "owner")
 	require.NoError(t, err)
-	held, err = store.Commit(t.Context(), held, batch.Segment{Items: []int{0}}, [][]byte{[]byte("before")})
+	claimed, err = store.Commit(t.Context(), claimed, batch.Segment{Items: []int{0}}, [][]byte{[]byte("before")})
 	require.NoError(t, err)
-	_, err = store.Cancel(t.Context(), modelJob, time.Now())
+	_, err = store.Cancel(t.Context(), modelJobID, time.Now())
 	require.NoError(t, err)
-	_, err = store.Commit(t.Context(), held, batch.Segment{Sequence: 1, Items: []int{1}}, [][]byte{[]byte("after")})
+	_, err = store.Commit(t.Context(), claimed, batch.Segment{Sequence: 1, Items: []int{1}}, [][]byte{[]byte("after")})
 	require.True(t, failure.HasCode(err, batch.CodeJobEnded), "%v", err)
-	chunks, err := store.Chunks(t.Context(), modelJob)
+	chunks, err := store.Chunks(t.Context(), modelJobID)
 	require.NoError(t, err)
 	require.Len(t, chunks[0].Segments, 1)
 }
--- a/internal/batch/queue.go
+++ b/internal/batch/queue.go
@@ -11,17 +11,20 @@
 	Chunk int
 }
 
-// Queue chooses which chunk runs next: weighted fair share among tenants, and
-// earliest deadline first within a tenant and for jobs whose slack has run
-// short. It is pure and not safe for concurrent use.
+// Queue selects the next chunk to run. Tenants get weighted fair shares. Within a
+// tenant, and among urgent jobs, the earliest deadline goes first. Queue does no
+// I/O and is not safe for concurrent use.
 type Queue struct {
-	jobs    map[string]*queuedJob
-	virtual map[string]float64
-	// UrgentSlack is the time before its deadline at which a job goes first.
+	jobs map[string]*queuedJob
+	// virtualTime is each tenant's virtual time: items assigned divided by weight.
+	virtualTime map[string]float64
+	// UrgentSlack is the time before its deadline from which a job is urgent and
+	// goes before jobs that are not.
 	UrgentSlack time.Duration
 }
 
-// queuedJob is the part of a job that still waits to be handed out.
+// queuedJob is a job with its unassigned chunks: those never assigned and those
+// returned.
 type queuedJob struct {
 	job      Job
 	weight   int
@@ -33,15 +36,15 @@
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue {
-	return &Queue{jobs: map[string]*queuedJob{}, virtual: map[string]float64{}, UrgentSlack: defaultUrgentSlack}
+	return &Queue{jobs: map[string]*queuedJob{}, virtualTime: map[string]float64{}, UrgentSlack: defaultUrgentSlack}
 }
 
-// Add offers a job's waiting chunks. A tenant that had nothing queued starts
-// level with the least served one, so that it neither starves others nor
-// is punished for idleness.
+// Add adds a job with its waiting chunks. The virtual time of a tenant without
+// queued jobs is raised to the minimum of the others, so that an idle time gives
+// the tenant no priority.
 func (q *Queue) Add(job Job, weight int, waiting []int) {
 	if !q.hasTenant(job.Tenant) {
-		q.virtual[job.Tenant] = max(q.virtual[job.Tenant], q.leastVirtual())
+		q.virtualTime[job.Tenant] = max(q.virtualTime[job.Tenant], q.minVirtualTime())
 	}
 	q.jobs[job.ID] = &queuedJob{job: job, weight: max(weight, 1), waiting: waiting}
 }
@@ -55,10 +58,10 @@
 	return false
 }
 
-func (q *Queue) leastVirtual() float64 {
+func (q *Queue) minVirtualTime() float64 {
 	least, first := 0.0, true
 	for _, queued := range q.jobs {
-		served := q.virtual[queued.job.Tenant]
+		served := q.virtualTime[queued.job.Tenant]
 		if first || served < least {
 			least, first = served, false
 		}
@@ -66,17 +69,18 @@
 	return least
 }
 
-// Remove forgets a job.
+// Remove removes a job.
 func (q *Queue) Remove(job string) { delete(q.jobs, job) }
 
-// Return puts a chunk back, to be handed out before new ones.
+// Return puts an assigned chunk back. Returned chunks go before the job's other
+// chunks.
 func (q *Queue) Return(assignment Assignment) {
 	if queued, known := q.jobs[assignment.Job]; known {
 		queued.returned = append(queued.returned, assignment.Chunk)
 	}
 }
 
-// Next takes the next chunk of a service.
+// Next removes and returns the next chunk of a service.
 func (q *Queue) Next(service string, now time.Time) (Assignment, bool) {
 	var chosen *queuedJob
 	for _, id := range q.sortedIDs() {
@@ -92,7 +96,7 @@
 		return Assignment{}, false
 	}
 	chunk := chosen.take()
-	q.virtual[chosen.job.Tenant] += float64(chosen.job.ChunkItems(chunk)) / float64(chosen.weight)
+	q.virtualTime[chosen.job.Tenant] += float64(chosen.job.ChunkItems(chunk)) / float64(chosen.weight)
 	return Assignment{Job: chosen.job.ID, Chunk: chunk}, true
 }
 
@@ -112,9 +116,9 @@
 		return aUrgent
 	}
 	if !aUrgent && a.job.Tenant != b.job.Tenant {
-		aServed, bServed := q.virtual[a.job.Tenant], q.virtual[b.job.Tenant]
-		if aServed != bServed {
-			return aServed < bServed
+		aTime, bTime := q.virtualTime[a.job.Tenant], q.virtualTime[b.job.Tenant]
+		if aTime != bTime {
+			return aTime < bTime
 		}
 	}
 	return a.job.Deadline < b.job.Deadline
--- a/internal/batch/queue_test.go
+++ b/internal/batch/queue_test.go
@@ -21,7 +21,8 @@
 	return batch.Job{ID: id, Tenant: tenant, Service: "s", Items: chunks * 10, ChunkSize: 10, Chunks: chunks, Deadline: deadline.UnixMilli()}, numbers
 }
 
-// TestQueueHandsOutEachChunkOnce and shares by weight.
+// TestQueueSharesByWeight checks that tenants get chunks in proportion to their
+// weights.
 func TestQueueSharesByWeight(t *testing.T) {
 	now := time.Now()
 	queue := batch.NewQueue()
@@ -38,7 +39,7 @@
 	require.InDelta(t, 150, served["heavy"], 2)
 }
 
-func TestQueueHandsOutEachChunkOnce(t *testing.T) {
+func TestQueueReturnsEachChunkOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		queue := batch.NewQueue()
@@ -77,16 +78,15 @@
 	}
 }
 
-// TestShardLosesNoChunk: whatever workers report, vanish or keep silent, every
-// chunk is done in the end and no chunk is with two live holders by the
-// shard's own account.
+// TestShardLosesNoChunk checks that every chunk can be completed after any
+// sequence of assignments, reports, releases and reclaims.
 func TestShardLosesNoChunk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		shard := batch.NewShard()
 		job, _ := waitingJob("job", "a", 6, now.Add(24*time.Hour))
 		shard.AddJob(job, 1, nil, func(string) bool { return true }, now)
-		holder := map[int]string{}
+		assignee := map[int]string{}
 		live := func(worker string) bool { return worker != "gone" }
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now = now.Add(time.Second)
@@ -95,10 +95,10 @@
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
 				for _, assignment := range shard.Assign(worker, "s", 2, now) {
-					holder[assignment.Chunk] = worker
+					assignee[assignment.Chunk] = worker
 				}
 			case 1:
-				shard.Report(worker, batch.AssignmentMessage{Job: "job", Chunk: chunk, Done: holder[chunk] == worker}, now)
+				shard.Report(worker, batch.AssignmentMessage{Job: "job", Chunk: chunk, Done: assignee[chunk] == worker}, now)
 			case 2:
 				shard.Report(worker, batch.AssignmentMessage{Job: "job", Chunk: chunk, Released: true}, now)
 			case 3:
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestBadInputNamesItsLine(t *testing.T) {
+func TestInputErrorHasLineNumber(t *testing.T) {
 	good := `{"custom_id":"1","body":{"model":"m","prompt":"p"}}` + "\n"
 	cases := map[string]struct {
 		line string
@@ -127,7 +127,7 @@
 		"no model":         {`{"custom_id":"2","body":{"prompt":"p"}}`, "no_model"},
 		"no prompt":        {`{"custom_id":"2","body":{"model":"m"}}`, "no_prompt"},
 		"negative limit":   {`{"custom_id":"2","body":{"model":"m","prompt":"p","max_tokens":-1}}`, "bad_max_tokens"},
-		"absurd limit":     {`{"custom_id":"2","body":{"model":"m","prompt":"p","max_tokens":999999999}}`, "bad_max_tokens"},
+		"excessive limit":  {`{"custom_id":"2","body":{"model":"m","prompt":"p","max_tokens":999999999}}`, "bad_max_tokens"},
 		"another endpoint": {`{"custom_id":"2","url":"/v1/x","body":{"model":"m","prompt":"p"}}`, "bad_url"},
 		"too long":         {`{"custom_id":"2","body":{"model":"m","prompt":"` + strings.Repeat("x", batch.MaxLineBytes) + `"}}`, "line_too_long"},
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestManifestCoversEveryItem: chunks cut by the manifest hold the same items
-// as the file.
+// TestManifestCoversEveryItem checks that the chunks of a manifest contain the
+// items of the file, in order.
 func TestManifestCoversEveryItem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(t, "items")
--- a/internal/batch/shard.go
+++ b/internal/batch/shard.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// holding is a chunk that a worker has been given.
-type holding struct {
+// chunkAssignment is the assignment of a chunk to a worker.
+type chunkAssignment struct {
 	worker string
-	// reportedAt is when the worker last mentioned the chunk.
+	// reportedAt is when the worker last reported the chunk, or when it was
+	// assigned.
 	reportedAt time.Time
 }
 
-// trackedJob is what a shard's coordinator knows of an open job.
+// trackedJob is the coordinator's state for an open job. done and assigned are
+// keyed by chunk number.
 type trackedJob struct {
 	job      Job
 	done     map[int]bool
-	assigned map[int]holding
+	assigned map[int]chunkAssignment
 }
 
-// Shard is the coordinator's state for one job shard: which chunks wait, which
-// are assigned to whom and which are done. It is soft state, rebuilt from the
-// table by the next coordinator; it is pure and not safe for concurrent use.
+// Shard is the coordinator's state for one job shard: the waiting, assigned and
+// done chunks. It is not persisted; a new coordinator rebuilds it from the table.
+// Shard does no I/O and is not safe for concurrent use.
 type Shard struct {
 	queue *Queue
 	jobs  map[string]*trackedJob
-	// AssignmentTimeout is how long a chunk may go unmentioned before it is
-	// handed to another worker.
+	// AssignmentTimeout is the time without a report after which an assigned
+	// chunk is reclaimed.
 	AssignmentTimeout time.Duration
 }
 
@@ -37,13 +39,13 @@
 	return &Shard{queue: NewQueue(), jobs: map[string]*trackedJob{}, AssignmentTimeout: defaultAssignmentTimeout}
 }
 
-// Knows reports whether the job is tracked.
-func (s *Shard) Knows(job string) bool {
+// HasJob reports whether the job is tracked.
+func (s *Shard) HasJob(job string) bool {
 	_, known := s.jobs[job]
 	return known
 }
 
-// JobIDs returns the tracked jobs in order.
+// JobIDs returns the ids of the tracked jobs, sorted.
 func (s *Shard) JobIDs() []string {
 	ids := make([]string, 0, len(s.jobs))
 	for id := range s.jobs {
@@ -53,17 +55,17 @@
 	return ids
 }
 
-// AddJob tracks a running job with the chunks that were ever claimed. A chunk
-// that has a live owner is left to it for the assignment timeout; the owner's
-// reports then keep it.
+// AddJob tracks a running job. claimed are the job's chunks that were ever
+// claimed. A chunk with a live owner counts as assigned to it, and is reclaimed
+// if the owner does not report it within the assignment timeout.
 func (s *Shard) AddJob(job Job, weight int, claimed []Chunk, isLive func(worker string) bool, now time.Time) {
-	tracked := &trackedJob{job: job, done: map[int]bool{}, assigned: map[int]holding{}}
+	tracked := &trackedJob{job: job, done: map[int]bool{}, assigned: map[int]chunkAssignment{}}
 	for _, chunk := range claimed {
 		switch {
 		case chunk.Done:
 			tracked.done[chunk.Number] = true
 		case isLive(chunk.Owner):
-			tracked.assigned[chunk.Number] = holding{worker: chunk.Owner, reportedAt: now}
+			tracked.assigned[chunk.Number] = chunkAssignment{worker: chunk.Owner, reportedAt: now}
 		}
 	}
 	waiting := []int{}
@@ -77,13 +79,13 @@
 	s.queue.Add(job, weight, waiting)
 }
 
-// RemoveJob forgets a job that has ended.
+// RemoveJob stops tracking a job.
 func (s *Shard) RemoveJob(job string) {
 	delete(s.jobs, job)
 	s.queue.Remove(job)
 }
 
-// Assign hands out up to count chunks of a service to a worker.
+// Assign assigns up to count chunks of a service to a worker.
 func (s *Shard) Assign(worker, service string, count int, now time.Time) []Assignment {
 	assignments := []Assignment{}
 	for len(assignments) < count {
@@ -91,43 +93,43 @@
 		if !found {
 			break
 		}
-		s.jobs[assignment.Job].assigned[assignment.Chunk] = holding{worker: worker, reportedAt: now}
+		s.jobs[assignment.Job].assigned[assignment.Chunk] = chunkAssignment{worker: worker, reportedAt: now}
 		assignments = append(assignments, assignment)
 	}
 	return assignments
 }
 
-// Report records what a worker says of a chunk. It returns false when the job
-// is not tracked, which means that it has ended.
+// Report records a worker's report of a chunk. It returns false if the job is
+// not tracked: it has ended or is not loaded yet.
 func (s *Shard) Report(worker string, message AssignmentMessage, now time.Time) bool {
 	tracked, known := s.jobs[message.Job]
 	if !known {
 		return false
 	}
-	held, isAssigned := tracked.assigned[message.Chunk]
-	isHolder := isAssigned && held.worker == worker
+	current, isAssigned := tracked.assigned[message.Chunk]
+	isAssignee := isAssigned && current.worker == worker
 	switch {
 	case tracked.done[message.Chunk]:
 	case message.Done:
 		tracked.done[message.Chunk] = true
 		delete(tracked.assigned, message.Chunk)
-	case message.Released && isHolder:
+	case message.Released && isAssignee:
 		delete(tracked.assigned, message.Chunk)
 		s.queue.Return(Assignment{Job: message.Job, Chunk: message.Chunk})
-	case isHolder:
-		tracked.assigned[message.Chunk] = holding{worker: worker, reportedAt: now}
+	case isAssignee:
+		tracked.assigned[message.Chunk] = chunkAssignment{worker: worker, reportedAt: now}
 	}
 	return true
 }
 
-// Reclaim puts back the chunks whose workers are gone or silent and returns
-// how many there were.
+// Reclaim returns to the queue the chunks whose workers are not live or have not
+// reported within the assignment timeout, and returns their number.
 func (s *Shard) Reclaim(isLive func(worker string) bool, now time.Time) int {
 	count := 0
 	for _, id := range s.JobIDs() {
 		tracked := s.jobs[id]
-		for chunk, held := range tracked.assigned {
-			if isLive(held.worker) && now.Sub(held.reportedAt) < s.AssignmentTimeout {
+		for chunk, current := range tracked.assigned {
+			if isLive(current.worker) && now.Sub(current.reportedAt) < s.AssignmentTimeout {
 				continue
 			}
 			delete(tracked.assigned, chunk)
@@ -138,7 +140,7 @@
 	return count
 }
 
-// Finished returns the jobs all of whose chunks are done.
+// Finished returns the ids of the jobs whose chunks are all done.
 func (s *Shard) Finished() []string {
 	finished := []string{}
 	for _, id := range s.JobIDs() {
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -13,7 +13,7 @@
 	"topazpulley/internal/storage"
 )
 
-// Store makes jobs and chunks durable in the platform's table and objects.
+// Store stores jobs and chunks in the platform's table and object store.
 type Store struct {
 	platform *storage.Client
 }
@@ -21,18 +21,19 @@
 // NewStore returns a store over the daemon's platform client.
 func NewStore(client *storage.Client) *Store { return &Store{platform: client} }
 
-// HeldChunk is a chunk together with the versions on which its next write
-// depends.
-type HeldChunk struct {
+// ClaimedChunk is a chunk with the row versions that its next write is
+// conditional on.
+type ClaimedChunk struct {
 	Chunk Chunk
 	// Version is the version of the chunk's row.
 	Version storage.Version
-	// JobVersion is the version of the job's state row while it ran.
+	// JobVersion is the version of the job's state row while the job runs.
 	JobVersion storage.Version
 }
 
-// Create makes the job durable. If the tenant's key already names a job with
-// the same content, that job is returned; with other content it is a conflict.
+// Create stores a job. If the tenant already has a job with the same key and
+// content, Create returns that job. If the content differs, it returns a
+// conflict.
 func (s *Store) Create(ctx context.Context, job Job, digest string) (Job, error) {
 	identity := Identity{Job: job.ID, Digest: digest}
 	transaction := storage.Transaction{
@@ -47,19 +48,19 @@
 	_, err := s.platform.Transact(ctx, transaction)
 	var conflict *storage.ConflictError
 	if errors.As(err, &conflict) {
-		return s.existing(ctx, job, digest, conflict)
+		return s.existingJob(ctx, job, digest, conflict)
 	}
 	return job, err
 }
 
-func (s *Store) existing(ctx context.Context, job Job, digest string, conflict *storage.ConflictError) (Job, error) {
+func (s *Store) existingJob(ctx context.Context, job Job, digest string, conflict *storage.ConflictError) (Job, error) {
 	row, found := conflict.Row(jobKey(job.Tenant, job.Key))
 	identity := Identity{}
 	if !found || json.Unmarshal(row.Value, &identity) != nil || identity.Digest != digest {
 		return job, failure.New(failure.KindConflict, "key_reused", "Idempotency-Key %q was used with other content: choose a new key", job.Key).WithNotRun()
 	}
-	present, _, err := s.Job(ctx, identity.Job)
-	return present, err
+	current, _, err := s.Job(ctx, identity.Job)
+	return current, err
 }
 
 // Job reads a job and the version of its state row.
@@ -88,7 +89,7 @@
 	return ids, nil
 }
 
-// Chunks reads the chunks of a job that were ever claimed, by number.
+// Chunks reads the chunks of a job that were ever claimed, in number order.
 func (s *Store) Chunks(ctx context.Context, job string) ([]Chunk, error) {
 	rows, err := s.platform.ScanAll(ctx, chunkPrefix(job))
 	if err != nil {
@@ -103,87 +104,89 @@
 	return chunks, nil
 }
 
-// Claim takes a chunk over under the next epoch. It fails when the job does not
-// run any more or another claim came first.
-func (s *Store) Claim(ctx context.Context, job Job, jobVersion storage.Version, number int, owner string) (HeldChunk, error) {
+// Claim claims a chunk for owner under the next epoch. It fails if the job has
+// ended or another owner claimed the chunk at the same time. A chunk that is
+// done is returned unchanged.
+func (s *Store) Claim(ctx context.Context, job Job, jobVersion storage.Version, number int, owner string) (ClaimedChunk, error) {
 	row, err := s.platform.Get(ctx, chunkKey(job.ID, number))
 	if err != nil {
-		return HeldChunk{}, err
+		return ClaimedChunk{}, err
 	}
 	chunk := Chunk{Job: job.ID, Number: number, Items: job.ChunkItems(number)}
 	if row.Version != 0 {
 		if err := decodeRow(row, &chunk); err != nil {
-			return HeldChunk{}, err
+			return ClaimedChunk{}, err
 		}
 	}
-	held := HeldChunk{Chunk: chunk, Version: row.Version, JobVersion: jobVersion}
+	claimed := ClaimedChunk{Chunk: chunk, Version: row.Version, JobVersion: jobVersion}
 	if chunk.Done {
-		return held, nil
+		return claimed, nil
 	}
-	return s.write(ctx, held, chunk.Claim(owner))
+	return s.write(ctx, claimed, chunk.Claim(owner))
 }
 
-// write replaces the chunk row on condition that neither it nor the job's
-// state row has changed. This one condition carries the epoch check and the
-// rule that nothing is committed after a cancel.
-func (s *Store) write(ctx context.Context, held HeldChunk, next Chunk) (HeldChunk, error) {
+// write replaces the chunk row if neither it nor the job's state row has changed.
+// The chunk condition rejects stale epochs; the job condition rejects commits
+// after the job has ended.
+func (s *Store) write(ctx context.Context, claimed ClaimedChunk, next Chunk) (ClaimedChunk, error) {
 	transaction := storage.Transaction{
 		OperationID: ulid.Make().String(),
 		Conditions: []storage.Condition{
-			{Key: next.Key(), Version: held.Version},
-			{Key: stateKey(next.Job), Version: held.JobVersion},
+			{Key: next.Key(), Version: claimed.Version},
+			{Key: stateKey(next.Job), Version: claimed.JobVersion},
 		},
 		Writes: []storage.Write{{Key: next.Key(), Value: encode(next)}},
 	}
 	version, err := s.platform.Transact(ctx, transaction)
 	if err == nil {
-		return HeldChunk{Chunk: next, Version: version, JobVersion: held.JobVersion}, nil
+		return ClaimedChunk{Chunk: next, Version: version, JobVersion: claimed.JobVersion}, nil
 	}
-	return held, explainConflict(err, next)
+	return claimed, conflictError(err, next)
 }
 
-// CodeJobEnded tells that the job was cancelled or completed.
+// CodeJobEnded is the error code for a job that was cancelled or completed.
 const CodeJobEnded = "job_ended"
 
-func explainConflict(err error, chunk Chunk) error {
+func conflictError(err error, chunk Chunk) error {
 	var conflict *storage.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
 	}
 	if _, ended := conflict.Row(stateKey(chunk.Job)); ended {
-		return failure.New(failure.KindConflict, CodeJobEnded, "job %s does not run any more", chunk.Job)
+		return failure.New(failure.KindConflict, CodeJobEnded, "job %s is no longer running", chunk.Job)
 	}
 	return failure.New(failure.KindConflict, CodeStaleEpoch, "%s was claimed by another owner", chunk.Key())
 }
 
-// Commit stores a segment's results and makes them visible. After a lost
-// answer it reads the row back: a segment that is there was committed.
-func (s *Store) Commit(ctx context.Context, held HeldChunk, segment Segment, lines [][]byte) (HeldChunk, error) {
-	segment.Epoch = held.Chunk.Epoch
-	segment.Object = segmentObject(held.Chunk.Job, held.Chunk.Number, segment.Epoch, segment.Sequence)
-	next, err := held.Chunk.Commit(held.Chunk.Owner, segment)
+// Commit stores a segment's results and adds the segment to the chunk row. On a
+// conflict it reads the row back, because an earlier attempt whose answer was
+// lost may have added the segment.
+func (s *Store) Commit(ctx context.Context, claimed ClaimedChunk, segment Segment, lines [][]byte) (ClaimedChunk, error) {
+	segment.Epoch = claimed.Chunk.Epoch
+	segment.Object = segmentObject(claimed.Chunk.Job, claimed.Chunk.Number, segment.Epoch, segment.Sequence)
+	next, err := claimed.Chunk.Commit(claimed.Chunk.Owner, segment)
 	if err != nil {
-		return held, err
+		return claimed, err
 	}
 	if err := s.platform.Put(ctx, segment.Object, bytes.Join(lines, []byte("\n"))); err != nil {
-		return held, err
+		return claimed, err
 	}
-	written, err := s.write(ctx, held, next)
+	written, err := s.write(ctx, claimed, next)
 	if failure.HasCode(err, CodeStaleEpoch) {
-		return s.settle(ctx, held, func(found Chunk) bool { return found.HasSegment(segment.Epoch, segment.Sequence) }, err)
+		return s.resolveConflict(ctx, claimed, func(found Chunk) bool { return found.HasSegment(segment.Epoch, segment.Sequence) }, err)
 	}
 	return written, err
 }
 
-// RecordIntents makes intents durable before the items are dispatched.
-func (s *Store) RecordIntents(ctx context.Context, held HeldChunk, intents []Intent) (HeldChunk, error) {
-	next, err := held.Chunk.RecordIntents(held.Chunk.Owner, held.Chunk.Epoch, intents)
+// RecordIntents stores intents. It must succeed before the items are sent.
+func (s *Store) RecordIntents(ctx context.Context, claimed ClaimedChunk, intents []Intent) (ClaimedChunk, error) {
+	next, err := claimed.Chunk.RecordIntents(claimed.Chunk.Owner, claimed.Chunk.Epoch, intents)
 	if err != nil {
-		return held, err
+		return claimed, err
 	}
-	written, err := s.write(ctx, held, next)
+	written, err := s.write(ctx, claimed, next)
 	if failure.HasCode(err, CodeStaleEpoch) {
-		return s.settle(ctx, held, func(found Chunk) bool {
+		return s.resolveConflict(ctx, claimed, func(found Chunk) bool {
 			recorded, exists := found.IntentFor(intents[0].Item)
 			return exists && recorded.AttemptID == intents[0].AttemptID
 		}, err)
@@ -191,25 +194,26 @@
 	return written, err
 }
 
-// settle reads the chunk back after a conflict. If this owner still holds its
-// epoch and the change is there, an earlier try took effect.
-func (s *Store) settle(ctx context.Context, held HeldChunk, isThere func(Chunk) bool, conflict error) (HeldChunk, error) {
-	row, err := s.platform.Get(ctx, held.Chunk.Key())
+// resolveConflict reads the chunk back after a conflict. If the owner and epoch
+// are unchanged and isApplied reports true, an earlier attempt was applied and
+// the stored chunk is returned. Otherwise the conflict is returned.
+func (s *Store) resolveConflict(ctx context.Context, claimed ClaimedChunk, isApplied func(Chunk) bool, conflict error) (ClaimedChunk, error) {
+	row, err := s.platform.Get(ctx, claimed.Chunk.Key())
 	if err != nil {
-		return held, err
+		return claimed, err
 	}
 	found := Chunk{}
 	if err := decodeRow(row, &found); err != nil {
-		return held, err
+		return claimed, err
 	}
-	isOwner := found.Owner == held.Chunk.Owner && found.Epoch == held.Chunk.Epoch
-	if isOwner && isThere(found) {
-		return HeldChunk{Chunk: found, Version: row.Version, JobVersion: held.JobVersion}, nil
+	isOwner := found.Owner == claimed.Chunk.Owner && found.Epoch == claimed.Chunk.Epoch
+	if isOwner && isApplied(found) {
+		return ClaimedChunk{Chunk: found, Version: row.Version, JobVersion: claimed.JobVersion}, nil
 	}
-	return held, conflict
+	return claimed, conflict
 }
 
-// Cancel ends a running job. Cancelling an ended job returns it as it is.
+// Cancel cancels a running job. A job that has ended is returned unchanged.
 func (s *Store) Cancel(ctx context.Context, id string, now time.Time) (Job, error) {
 	return s.end(ctx, id, func(job *Job) {
 		job.State = StateCancelled
@@ -217,7 +221,7 @@
 	})
 }
 
-// Complete ends a job all of whose chunks are done.
+// Complete marks a running job as done. All of its chunks must be done.
 func (s *Store) Complete(ctx context.Context, id string, completed, failed int, now time.Time) (Job, error) {
 	return s.end(ctx, id, func(job *Job) {
 		job.State = StateDone
@@ -241,8 +245,8 @@
 	_, err = s.platform.Transact(ctx, transaction)
 	var conflict *storage.ConflictError
 	if errors.As(err, &conflict) {
-		present, _, readErr := s.Job(ctx, id)
-		return present, readErr
+		current, _, readErr := s.Job(ctx, id)
+		return current, readErr
 	}
 	return job, err
 }
@@ -282,7 +286,7 @@
 	return s.platform.Put(ctx, job.ManifestObject(), encode(manifest))
 }
 
-// EachResult visits the committed result lines of a job in chunk order.
+// EachResult calls visit for each committed result line of a job, in chunk order.
 func (s *Store) EachResult(ctx context.Context, job string, visit func(line []byte) error) error {
 	chunks, err := s.Chunks(ctx, job)
 	if err != nil {
@@ -311,7 +315,7 @@
 	return nil
 }
 
-// encode marshals values that always can be.
+// encode marshals a value to JSON. It panics if the value cannot be marshalled.
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/batch/task.go
+++ b/internal/batch/task.go
@@ -14,65 +14,66 @@
 	"topazpulley/internal/quarantine"
 )
 
-// Task is one item of a claimed chunk on its way to a result. It is owned by
-// whoever took it from the worker.
+// Task is one item of a claimed chunk that has no result yet. Only the caller
+// that took it from the worker may use it.
 type Task struct {
 	chunk *activeChunk
 	// Index is the item's position in its chunk.
 	Index int
 	Item  Item
-	// Tokens holds what earlier attempts produced; the next one continues.
+	// Tokens are the tokens of earlier attempts; the next attempt continues after
+	// them.
 	Tokens []string
-	// Attempts counts dispatches, and Failures those that broke off.
+	// Attempts is the number of dispatches, and Failures that of failed ones.
 	Attempts int
 	Failures int
-	// Earlier is the intent of a former owner, whose fate must be found out;
-	// the item must not be dispatched again.
+	// Earlier is the intent of an earlier owner. The item must not be dispatched
+	// again; the outcome of the earlier attempt has to be queried.
 	Earlier *Intent
-	// Refused is the attempt of this owner's own intent that an engine refused
-	// before start.
+	// Refused is the id of this owner's attempt that an engine refused before it
+	// started.
 	Refused string
 }
 
-// AttemptID returns the id of the task's next dispatch. It names the epoch, so
-// that two owners never use the same one.
+// AttemptID increments Attempts and returns the id of the next dispatch. The id
+// includes the epoch, so that two owners never use the same one.
 func (t *Task) AttemptID() string {
 	t.Attempts++
-	held := t.chunk.held()
-	return fmt.Sprintf("%s-%d-%d-%d-%d", held.Chunk.Job, held.Chunk.Number, t.Index, held.Chunk.Epoch, t.Attempts)
+	claimed := t.chunk.claimed()
+	return fmt.Sprintf("%s-%d-%d-%d-%d", claimed.Chunk.Job, claimed.Chunk.Number, t.Index, claimed.Chunk.Epoch, t.Attempts)
 }
 
-// Job returns the id of the job that the task is of.
+// Job returns the id of the task's job.
 func (t *Task) Job() string { return t.chunk.job.ID }
 
-// Epoch returns the epoch of the ownership of the task's chunk.
-func (t *Task) Epoch() int64 { return t.chunk.held().Chunk.Epoch }
+// Epoch returns the epoch under which the task's chunk is claimed.
+func (t *Task) Epoch() int64 { return t.chunk.claimed().Chunk.Epoch }
 
-// Context ends when the task's chunk is lost or its job has ended.
+// Context returns a context that ends when the task's chunk is dropped.
 func (t *Task) Context() context.Context { return t.chunk.context }
 
 // Service returns the service that runs the task.
 func (t *Task) Service() string { return t.chunk.job.Service }
 
-// Fingerprint identifies the item's content whatever its attempt.
+// Fingerprint identifies the item's content. It is the same for all attempts.
 func (t *Task) Fingerprint() quarantine.Fingerprint {
 	return engine.GenerationFingerprint(t.Item.Body.Model, t.chunk.job.Tenant, t.Item.Body.Input())
 }
 
-// RequestID identifies the item in results.
+// RequestID returns the id of the item in results.
 func (t *Task) RequestID() string {
 	return fmt.Sprintf("%s-%d", t.chunk.job.ID, t.chunk.number*t.chunk.job.ChunkSize+t.Index)
 }
 
-// result is a finished item that waits to be committed.
+// result is the result of an item that is not committed yet.
 type result struct {
 	index  int
 	line   []byte
 	failed bool
 }
 
-// activeChunk is a chunk that this worker holds. mutex guards the fields below
-// it; only the chunk's committer writes to the store.
+// activeChunk is a chunk that this worker has claimed. mutex guards the fields
+// from state to dropped.
 type activeChunk struct {
 	job     Job
 	number  int
@@ -81,26 +82,28 @@
 	wake    chan struct{}
 
 	mutex   sync.Mutex
-	state   HeldChunk
+	state   ClaimedChunk
 	waiting []*Task
 	results []result
 	// committing is the number of leading results in the segment that is being
-	// committed. A retry must carry the same ones: the first try may have
-	// taken effect.
+	// committed. A retry commits the same results, because the first attempt may
+	// have been applied.
 	committing int
-	oldest     time.Time
-	sequence   int
-	left       int
-	// takenAt is when a task was last taken, or the chunk was claimed.
+	// oldestAt is when the oldest of results was added.
+	oldestAt time.Time
+	sequence int
+	// unfinished is the number of items without a result.
+	unfinished int
+	// takenAt is when a task was last taken, or when the chunk was claimed.
 	takenAt time.Time
 	done    bool
-	lost    bool
+	dropped bool
 
 	// storeMutex serializes writes of the chunk's row.
 	storeMutex sync.Mutex
 }
 
-func (c *activeChunk) held() HeldChunk {
+func (c *activeChunk) claimed() ClaimedChunk {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state
@@ -109,28 +112,28 @@
 func (c *activeChunk) assignment() AssignmentMessage {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return AssignmentMessage{Job: c.job.ID, Chunk: c.number, Done: c.done, Released: c.lost && !c.done}
+	return AssignmentMessage{Job: c.job.ID, Chunk: c.number, Done: c.done, Released: c.dropped && !c.done}
 }
 
-// lose drops the chunk: its running tasks are cancelled and its results are
-// not committed.
-func (c *activeChunk) lose() {
+// drop drops the chunk: its running tasks are cancelled and its uncommitted
+// results are discarded.
+func (c *activeChunk) drop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost = true
+	c.dropped = true
 	c.waiting = nil
 	c.results = nil
 	c.committing = 0
 	c.cancel()
 }
 
-// stalled reports whether tasks wait, none runs and none was taken for a while:
-// this daemon's engines have no room or are gone.
-func (c *activeChunk) stalled(now time.Time) bool {
+// isStalled reports whether tasks are waiting, none is running and none was taken
+// within stallTimeout: this daemon's engines have no free capacity or are gone.
+func (c *activeChunk) isStalled(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	noneRuns := c.left == len(c.waiting)
-	return !c.lost && len(c.waiting) > 0 && noneRuns && now.Sub(c.takenAt) > stalledAfter
+	noneRuns := c.unfinished == len(c.waiting)
+	return !c.dropped && len(c.waiting) > 0 && noneRuns && now.Sub(c.takenAt) > stallTimeout
 }
 
 func (c *activeChunk) signal() {
@@ -143,27 +146,27 @@
 func (c *activeChunk) addResult(added result) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.lost {
+	if c.dropped {
 		return
 	}
 	if len(c.results) == 0 {
-		c.oldest = time.Now()
+		c.oldestAt = time.Now()
 	}
 	c.results = append(c.results, added)
-	c.left--
+	c.unfinished--
 	c.signal()
 }
 
-// takeResults returns the results to commit now, if it is time. Until they are
-// committed it returns the same ones again.
+// takeResults returns the results to commit if a segment is due. It returns the
+// same results until they are committed.
 func (c *activeChunk) takeResults(now time.Time) []result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.committing > 0 {
 		return c.results[:c.committing]
 	}
-	isFull := len(c.results) >= segmentItems || c.left == 0
-	isOld := now.Sub(c.oldest) >= segmentMaxAge
+	isFull := len(c.results) >= segmentItems || c.unfinished == 0
+	isOld := now.Sub(c.oldestAt) >= segmentMaxAge
 	if len(c.results) == 0 || !(isFull || isOld) {
 		return nil
 	}
@@ -198,8 +201,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// CompletionBody renders a finished answer as an OpenAI completion or chat
-// completion, by endpoint.
+// CompletionBody returns a finished answer as an OpenAI completion or chat
+// completion, depending on the endpoint.
 func CompletionBody(endpoint, id, model string, tokens []string, end engine.Event) json.RawMessage {
 	text := engine.JoinTokens(tokens)
 	body := completionBody{ID: id, Object: "text_completion", Model: model}
@@ -216,7 +219,7 @@
 
 const statusOK = 200
 
-// successLine renders the result line of a completed task.
+// successLine returns the result line of a completed task.
 func successLine(task *Task, tokens []string, end engine.Event) []byte {
 	id := task.RequestID()
 	return encode(ResultLine{
@@ -228,7 +231,7 @@
 	})
 }
 
-// failureLine renders the result line of a task that failed for good.
+// failureLine returns the result line of a task that failed permanently.
 func failureLine(task *Task, err error) []byte {
 	typed := failure.From(err)
 	var attempt *engine.AttemptError
--- a/internal/batch/worker.go
+++ b/internal/batch/worker.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	segmentItems       = 64
-	segmentMaxAge      = 700 * time.Millisecond
-	commitPollInterval = 100 * time.Millisecond
-	fetchInterval      = 100 * time.Millisecond
-	reportInterval     = time.Second
-	peerCallTimeout    = 2 * time.Second
-	claimTimeout       = 10 * time.Second
-	commitTimeout      = 30 * time.Second
-	maxActiveChunks    = 64
-	maxHeldResults     = 20000
-	maxChunksPerCall   = 4
-	commitRetryPause   = 500 * time.Millisecond
-	stalledAfter       = 5 * time.Second
+	segmentItems          = 64
+	segmentMaxAge         = 700 * time.Millisecond
+	commitPollInterval    = 100 * time.Millisecond
+	fetchInterval         = 100 * time.Millisecond
+	reportInterval        = time.Second
+	peerCallTimeout       = 2 * time.Second
+	claimTimeout          = 10 * time.Second
+	commitTimeout         = 30 * time.Second
+	maxActiveChunks       = 64
+	maxUncommittedResults = 20000
+	maxChunksPerCall      = 4
+	commitRetryPause      = 500 * time.Millisecond
+	stallTimeout          = 5 * time.Second
 )
 
-// jobInfo is what a worker keeps of a job between chunks.
+// jobInfo is a worker's cached state of a job.
 type jobInfo struct {
 	job      Job
 	version  storage.Version
 	manifest Manifest
 }
 
-// Worker claims chunks for this daemon's engines, hands their items to the
+// Worker claims chunks for this daemon's engines, provides their items to the
 // supervisors and commits the results. mutex guards the fields below it.
 type Worker struct {
 	store     *Store
@@ -49,24 +49,29 @@
 	transport *peer.Transport
 	log       *slog.Logger
 
-	mutex    sync.Mutex
-	active   []*activeChunk
-	demand   map[string]int
+	mutex  sync.Mutex
+	active []*activeChunk
+	// demand is the number of items that the engines can run at once, by
+	// service.
+	demand map[string]int
+	// backlog is the announced backlog by shard.
 	backlog  map[int]shardBacklog
 	jobs     map[string]jobInfo
 	stopping bool
+	// claiming is the number of claims under way.
 	claiming int
 }
 
-// shardBacklog is a shard's announced backlog with the time it was heard.
+// shardBacklog is a shard's announced backlog and when it was received.
 type shardBacklog struct {
-	backlog Backlog
-	at      time.Time
+	backlog    Backlog
+	receivedAt time.Time
 }
 
+// backlogLifetime is the time after which an announced backlog is ignored.
 const backlogLifetime = 3 * backlogRefreshInterval
 
-// NewWorker makes a worker.
+// NewWorker returns a worker without chunks.
 func NewWorker(store *Store, node *cluster.Node, transport *peer.Transport, log *slog.Logger) *Worker {
 	return &Worker{
 		store: store, node: node, transport: transport, log: log,
@@ -74,7 +79,7 @@
 	}
 }
 
-// Receive is the membership subscriber that learns where work waits.
+// Receive is the membership subscriber that records the announced backlogs.
 func (w *Worker) Receive(event membership.Event) {
 	if event.Kind != membership.EventItem || len(event.Item.Key) < len(PrefixBacklog) || event.Item.Key[:len(PrefixBacklog)] != PrefixBacklog {
 		return
@@ -85,11 +90,11 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.backlog[shard] = shardBacklog{backlog: backlog, at: time.Now()}
+	w.backlog[shard] = shardBacklog{backlog: backlog, receivedAt: time.Now()}
 }
 
-// SetDemand states how many items of a service the daemon's engines could run
-// at once.
+// SetDemand sets the number of items of a service that the daemon's engines can
+// run at once.
 func (w *Worker) SetDemand(service string, items int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -132,11 +137,12 @@
 	return task, true
 }
 
-// GiveBack returns a task that did not finish; it goes first next time.
+// GiveBack returns a task that did not finish to the front of its chunk's waiting
+// tasks.
 func (w *Worker) GiveBack(task *Task) {
 	task.chunk.mutex.Lock()
 	defer task.chunk.mutex.Unlock()
-	if !task.chunk.lost {
+	if !task.chunk.dropped {
 		task.chunk.waiting = slices.Insert(task.chunk.waiting, 0, task)
 	}
 }
@@ -146,19 +152,19 @@
 	task.chunk.addResult(result{index: task.Index, line: successLine(task, task.Tokens, end)})
 }
 
-// Fail records a task that failed for good.
+// Fail records a task that failed permanently.
 func (w *Worker) Fail(task *Task, err error) {
 	task.chunk.addResult(result{index: task.Index, line: failureLine(task, err), failed: true})
 }
 
-func (w *Worker) lose(chunk *activeChunk, reason error) {
+func (w *Worker) dropChunk(chunk *activeChunk, reason error) {
 	w.log.Info("chunk_lost", "job", chunk.job.ID, "chunk", chunk.number, "reason", reason)
-	chunk.lose()
+	chunk.drop()
 }
 
-// fetchAll asks for chunks of every service that could run more.
+// fetchAll requests chunks of every service with unmet demand.
 func (w *Worker) fetchAll(ctx context.Context) {
-	for service, wanted := range w.shortage() {
+	for service, wanted := range w.missingChunks() {
 		shard, found := w.chooseShard(service)
 		if !found {
 			continue
@@ -167,25 +173,26 @@
 	}
 }
 
-// shortage returns by service how many chunks to ask for.
-func (w *Worker) shortage() map[string]int {
+// missingChunks returns the number of chunks to request, by service.
+func (w *Worker) missingChunks() map[string]int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	short := map[string]int{}
-	isFull := len(w.active)+w.claiming >= maxActiveChunks || w.heldResults() > maxHeldResults
+	missing := map[string]int{}
+	isFull := len(w.active)+w.claiming >= maxActiveChunks || w.uncommittedResults() > maxUncommittedResults
 	if w.stopping || isFull {
-		return short
+		return missing
 	}
 	for service, demand := range w.demand {
 		if waiting := w.waitingItems(service); demand > 0 && waiting < demand {
-			short[service] = min(max(demand/minChunkSize, 1), maxChunksPerCall)
+			missing[service] = min(max(demand/minChunkSize, 1), maxChunksPerCall)
 		}
 	}
-	return short
+	return missing
 }
 
-// heldResults counts results that are not committed. mutex is held.
-func (w *Worker) heldResults() int {
+// uncommittedResults returns the number of uncommitted results. The caller has
+// locked mutex.
+func (w *Worker) uncommittedResults() int {
 	count := 0
 	for _, chunk := range w.active {
 		chunk.mutex.Lock()
@@ -195,7 +202,8 @@
 	return count
 }
 
-// waitingItems counts waiting tasks of a service. mutex is held.
+// waitingItems returns the number of waiting tasks of a service. The caller has
+// locked mutex.
 func (w *Worker) waitingItems(service string) int {
 	count := 0
 	for _, chunk := range w.active {
@@ -209,18 +217,18 @@
 	return count
 }
 
-// chooseShard picks a shard at random in proportion to its backlog.
+// chooseShard selects a random shard, weighted by its backlog of the service.
 func (w *Worker) chooseShard(service string) (int, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	total := 0
 	chosen, found := 0, false
-	for shard, heard := range w.backlog {
-		if time.Since(heard.at) > backlogLifetime {
+	for shard, received := range w.backlog {
+		if time.Since(received.receivedAt) > backlogLifetime {
 			delete(w.backlog, shard)
 			continue
 		}
-		chunks := heard.backlog.chunksOf(service)
+		chunks := received.backlog.chunksOf(service)
 		total += chunks
 		if chunks > 0 && rand.IntN(total) < chunks {
 			chosen, found = shard, true
@@ -253,7 +261,7 @@
 		return
 	}
 	if len(answer.Assignments) == 0 {
-		w.forgetBacklog(shard, service)
+		w.removeBacklog(shard, service)
 	}
 	for _, assignment := range answer.Assignments {
 		w.countClaim(1)
@@ -261,13 +269,14 @@
 	}
 }
 
-// forgetBacklog corrects an announcement that has proved to be outdated.
-func (w *Worker) forgetBacklog(shard int, service string) {
+// removeBacklog removes a service from a shard's announced backlog after the
+// coordinator had no chunk of it.
+func (w *Worker) removeBacklog(shard int, service string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	heard := w.backlog[shard]
-	heard.backlog.Services = slices.DeleteFunc(slices.Clone(heard.backlog.Services), func(entry ServiceBacklog) bool { return entry.Service == service })
-	w.backlog[shard] = heard
+	received := w.backlog[shard]
+	received.backlog.Services = slices.DeleteFunc(slices.Clone(received.backlog.Services), func(entry ServiceBacklog) bool { return entry.Service == service })
+	w.backlog[shard] = received
 }
 
 func (w *Worker) countClaim(change int) {
@@ -283,7 +292,7 @@
 	chunk, err := w.tryClaim(bounded, ctx, assignment)
 	if err != nil {
 		w.log.Info("chunk_claim_failed", "job", assignment.Job, "chunk", assignment.Chunk, "error", err)
-		w.forgetJob(assignment.Job)
+		w.removeJob(assignment.Job)
 		w.report(ctx, ShardOf(assignment.Job), []AssignmentMessage{{Job: assignment.Job, Chunk: assignment.Chunk, Released: true}})
 		return
 	}
@@ -304,24 +313,24 @@
 	if err != nil {
 		return nil, err
 	}
-	held, err := w.store.Claim(bounded, info.job, info.version, assignment.Chunk, w.node.Self().Name)
+	claimed, err := w.store.Claim(bounded, info.job, info.version, assignment.Chunk, w.node.Self().Name)
 	if err != nil {
 		return nil, err
 	}
-	return newActiveChunk(lifetime, info.job, held, items), nil
+	return newActiveChunk(lifetime, info.job, claimed, items), nil
 }
 
-func newActiveChunk(ctx context.Context, job Job, held HeldChunk, items []Item) *activeChunk {
-	chunk := &activeChunk{job: job, number: held.Chunk.Number, state: held, wake: make(chan struct{}, 1), takenAt: time.Now(), done: held.Chunk.Done}
+func newActiveChunk(ctx context.Context, job Job, claimed ClaimedChunk, items []Item) *activeChunk {
+	chunk := &activeChunk{job: job, number: claimed.Chunk.Number, state: claimed, wake: make(chan struct{}, 1), takenAt: time.Now(), done: claimed.Chunk.Done}
 	chunk.context, chunk.cancel = context.WithCancel(ctx)
-	for _, index := range held.Chunk.Remaining() {
+	for _, index := range claimed.Chunk.Remaining() {
 		task := &Task{chunk: chunk, Index: index, Item: items[index]}
-		if intent, exists := held.Chunk.IntentFor(index); exists {
+		if intent, exists := claimed.Chunk.IntentFor(index); exists {
 			task.Earlier = &intent
 		}
 		chunk.waiting = append(chunk.waiting, task)
 	}
-	chunk.left = len(chunk.waiting)
+	chunk.unfinished = len(chunk.waiting)
 	return chunk
 }
 
@@ -337,7 +346,7 @@
 		return info, err
 	}
 	if job.State != StateRunning {
-		return info, failure.New(failure.KindConflict, CodeJobEnded, "job %s does not run any more", id)
+		return info, failure.New(failure.KindConflict, CodeJobEnded, "job %s is no longer running", id)
 	}
 	manifest, err := w.store.Manifest(ctx, job)
 	if err != nil {
@@ -350,14 +359,14 @@
 	return info, nil
 }
 
-func (w *Worker) forgetJob(id string) {
+func (w *Worker) removeJob(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.jobs, id)
 }
 
-// Stop takes no more work, commits finished results and releases the chunks
-// that are not done, so that others go on at once.
+// Stop stops taking work, commits finished results and releases the chunks that
+// are not done, so that other workers can claim them immediately.
 func (w *Worker) Stop(ctx context.Context) {
 	w.mutex.Lock()
 	w.stopping = true
@@ -369,7 +378,7 @@
 	w.reportAll(ctx)
 }
 
-// Held returns the number of chunks that this worker holds.
+// Held returns the number of active chunks.
 func (w *Worker) Held() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -63,13 +63,13 @@
 }
 
 mutant no_chunk_condition internal/batch/store.go \
-	'{Key: next.Key(), Version: held.Version},' '' internal/batch TestChunkModel
+	'{Key: next.Key(), Version: claimed.Version},' '' internal/batch TestChunkModel
 mutant no_job_condition internal/batch/store.go \
-	'{Key: stateKey(next.Job), Version: held.JobVersion},' '' internal/batch 'TestChunkModel|TestNothingIsCommittedAfterACancel'
+	'{Key: stateKey(next.Job), Version: claimed.JobVersion},' '' internal/batch 'TestChunkModel|TestCommitAfterCancelFails'
 mutant no_intent_check internal/batch/chunk.go \
-	'if exists {' 'if false {' internal/batch 'TestIntentIsReplacedOnlyByItsOwnRefusal'
+	'if exists {' 'if false {' internal/batch 'TestOnlyRefusedIntentIsReplaced'
 mutant no_epoch_check internal/batch/chunk.go \
-	'c.Owner != owner || c.Epoch != epoch' 'false' internal/batch TestChunkRefusesAnOldEpoch
+	'c.Owner != owner || c.Epoch != epoch' 'false' internal/batch TestChunkRejectsStaleEpoch
 mutant no_insert_condition internal/revision/revision.go \
 	'Conditions:  []storage.Condition{{Key: key(next.Number)}},' '' internal/revision TestOneWinnerBetweenReadAndWrite
 mutant no_rise_check internal/revision/holder.go \
@@ -99,7 +99,7 @@
 mutant no_result_copy internal/gateway/results.go \
 	'	g.keepElsewhere(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
 mutant no_job_identity internal/batch/store.go \
-	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestResentJobIsTheSameJob
+	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestCreateReturnsExistingJob
 mutant all_failures_not_run internal/engine/client.go \
 	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionLeavesTheOutcomeUnknown
 mutant no_wait_at_stop internal/daemon/daemon.go \
