--- a/internal/batch/model_test.go
+++ b/internal/batch/model_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	modelItems  = 5
-	modelOwners = 3
-	modelJobID  = "job"
-	maxCalls    = 1e9
+	modelItems          = 5
+	modelOwners         = 3
+	modelJobID          = "job"
+	operationsPerSecond = 1e9
 )
 
 // chunkModel runs the actions of spec/chunk.pml against Store: owners claim,
@@ -49,7 +49,7 @@
 		model.loseNext = false
 		return lost
 	}}
-	model.store = batch.NewStore(storage.NewClient(services, maxCalls))
+	model.store = batch.NewStore(storage.NewClient(services, operationsPerSecond))
 	job := batch.Job{ID: modelJobID, Tenant: "tenant", Key: "key", Items: modelItems, ChunkSize: modelItems, Chunks: 1, State: batch.StateRunning}
 	_, err := model.store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
@@ -250,7 +250,7 @@
 }
 
 func TestCreateReturnsExistingJob(t *testing.T) {
-	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, maxCalls))
+	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, operationsPerSecond))
 	job := batch.Job{ID: batch.JobID("tenant", "key"), Tenant: "tenant", Key: "key", Items: 1, ChunkSize: 1, Chunks: 1, State: batch.StateRunning, Created: 1}
 	_, err := store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
@@ -267,7 +267,7 @@
 // TestCommitAfterCancelFails guards against commits by an owner that has not been
 // notified of the cancellation.
 func TestCommitAfterCancelFails(t *testing.T) {
-	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, maxCalls))
+	store := batch.NewStore(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, operationsPerSecond))
 	job := batch.Job{ID: modelJobID, Tenant: "tenant", Key: "key", Items: 2, ChunkSize: 2, Chunks: 1, State: batch.StateRunning}
 	_, err := store.Create(t.Context(), job, "digest")
 	require.NoError(t, err)
