--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is a daemon's view of the engines of its zone, built from
-// the items that supervisors and machine watchers spread by gossip.
+// Package registry keeps a daemon's view of the engines of its zone. It is built
+// from the gossip items that supervisors and machine watchers publish, and from
+// the requests that this daemon sends.
 package registry
 
 import (
@@ -26,17 +27,16 @@
 	PrefixYield   = "yield/"
 )
 
-// MachineRecord is an engine as the machine list shows it.
+// MachineRecord is an engine's entry in the machine list.
 type MachineRecord struct {
 	Address string
 	Service string
 	Leaving bool
-	// Removed is a tombstone.
+	// Removed marks an engine that was removed from the machine list.
 	Removed bool
 }
 
-// EngineRecord is what the supervisor knows of an engine and what changes
-// seldom.
+// EngineRecord is the part of a supervisor's report that rarely changes.
 type EngineRecord struct {
 	Up         bool
 	State      string
@@ -51,12 +51,14 @@
 		r.Supervisor == other.Supervisor && slices.Equal(r.Models, other.Models)
 }
 
-// LoadRecord is an engine's load; it is refreshed often and kept small.
+// LoadRecord is an engine's load. It is published often, so it must stay small.
 type LoadRecord struct {
-	Online      int
-	Waiting     int
-	Batch       int
-	KVPermille  int
+	Online  int
+	Waiting int
+	Batch   int
+	// KVPermille is the used share of the KV cache in thousandths.
+	KVPermille int
+	// BatchWindow is the number of batch items that the engine may run.
 	BatchWindow int
 }
 
@@ -81,7 +83,7 @@
 // Encode returns the item payload of a record.
 func (r LoadRecord) Encode() []byte { return mustMarshal(loadSchema, r) }
 
-// mustMarshal encodes records whose types always fit their schema.
+// mustMarshal encodes a record. It panics if the record does not fit the schema.
 func mustMarshal(schema avro.Schema, record any) []byte {
 	encoded, err := avro.Marshal(schema, record)
 	if err != nil {
@@ -90,34 +92,33 @@
 	return encoded
 }
 
-// Engine is the view of one engine. It is a value; changing it changes
-// nothing.
+// Engine is a copy of the registry's view of one engine.
 type Engine struct {
 	Name    string
 	Machine MachineRecord
 	Record  EngineRecord
 	Load    LoadRecord
-	// Known tells that a supervisor has reported the engine.
+	// Known is true once a supervisor has reported the engine.
 	Known bool
 	// LoadAt is when the load report arrived.
 	LoadAt time.Time
-	// NetSince is what the load report cannot know yet: this daemon's requests
-	// begun less those ended since the report was made. InFlight is all that
-	// the daemon has on the engine.
+	// NetSince is the number of this daemon's requests begun minus those ended
+	// since the load report was made. InFlight is the number of this daemon's
+	// requests that the engine is running.
 	NetSince int
 	InFlight int
-	// EjectedUntil is when the engine is tried again after failures seen here.
+	// EjectedUntil is when the engine's ejection by this daemon ends.
 	EjectedUntil time.Time
 }
 
-// Available reports whether the engine takes new work by its own word and the
-// platform's.
+// Available reports whether the engine can take new work: it is neither leaving
+// nor removed, and up and ready unless no supervisor has reported it.
 func (e Engine) Available() bool {
 	isUp := !e.Known || (e.Record.Up && e.Record.State == string(engine.StateReady))
 	return isUp && !e.Machine.Leaving && !e.Machine.Removed
 }
 
-// Serving reports whether the engine is available and not ejected here.
+// Serving reports whether the engine is available and not ejected by this daemon.
 func (e Engine) Serving(now time.Time) bool {
 	return e.Available() && !now.Before(e.EjectedUntil)
 }
@@ -133,79 +134,83 @@
 	return false
 }
 
-// entry is the mutable state of one engine. Registry's mutex guards it.
-type entry struct {
+// engineState is the mutable state of one engine. Registry's mutex guards it.
+type engineState struct {
 	view     Engine
 	failures int
-	// recent are the begins and ends that the load report may not know.
-	recent []flight
+	// recent are the changes that the load report may not include, oldest first.
+	recent []countChange
 }
 
-// flight is one begin (+1) or end (-1) of a request of this daemon.
-type flight struct {
+// countChange is the begin (+1) or end (-1) of a request of this daemon.
+type countChange struct {
 	at     time.Time
 	change int
 }
 
-// record adds a begin or an end.
-func (e *entry) record(change int, now time.Time) {
+// record counts a begin or an end.
+func (e *engineState) record(change int, now time.Time) {
 	e.view.InFlight += change
 	e.view.NetSince += change
-	e.recent = append(e.recent, flight{at: now, change: change})
-	if len(e.recent) > maxRecentFlights {
-		e.forget(len(e.recent) - maxRecentFlights)
+	e.recent = append(e.recent, countChange{at: now, change: change})
+	if len(e.recent) > maxRecentChanges {
+		e.dropOldest(len(e.recent) - maxRecentChanges)
 	}
 }
 
-// forget drops the oldest flights.
-func (e *entry) forget(count int) {
+// dropOldest removes the oldest changes.
+func (e *engineState) dropOldest(count int) {
 	for _, old := range e.recent[:count] {
 		e.view.NetSince -= old.change
 	}
 	e.recent = slices.Delete(e.recent, 0, count)
 }
 
-// reported takes a load report, which knows what happened before its lag.
-func (e *entry) reported(load LoadRecord, now time.Time) {
+// applyLoad applies a load report. The report includes the changes that are older
+// than assumedReportLag.
+func (e *engineState) applyLoad(load LoadRecord, now time.Time) {
 	e.view.Load, e.view.LoadAt = load, now
-	known := 0
-	for known < len(e.recent) && e.recent[known].at.Before(now.Add(-assumedReportLag)) {
-		known++
+	included := 0
+	for included < len(e.recent) && e.recent[included].at.Before(now.Add(-assumedReportLag)) {
+		included++
 	}
-	e.forget(known)
+	e.dropOldest(included)
 }
 
 // Registry holds the engines of the daemon's zone.
 type Registry struct {
 	mutex   sync.Mutex
-	engines map[string]*entry
+	engines map[string]*engineState
 	changed chan struct{}
 }
 
 const (
 	ejectAfterFailures = 2
 	ejectBase          = 500 * time.Millisecond
-	ejectCeiling       = 8 * time.Second
-	// assumedReportLag is how old a load report is when it arrives: the
-	// engine's own lag, the wait for the next probe and for gossip.
+	ejectMax           = 8 * time.Second
+	// assumedReportLag is the age of a load report when it arrives: the sum of
+	// the engine's delay, the probe interval and the gossip delay.
 	assumedReportLag = 300 * time.Millisecond
-	maxRecentFlights = 4096
+	maxRecentChanges = 4096
 )
 
 // New returns an empty registry.
-func New() *Registry { return &Registry{engines: map[string]*entry{}, changed: make(chan struct{}, 1)} }
+func New() *Registry {
+	return &Registry{engines: map[string]*engineState{}, changed: make(chan struct{}, 1)}
+}
 
-// Changed delivers a value after engines were added, removed or changed state.
+// Changed returns a channel that receives a value after a machine or engine
+// record was applied. Several changes may cause only one value.
 func (r *Registry) Changed() <-chan struct{} { return r.changed }
 
-// Receive is the membership subscriber that keeps the registry current.
+// Receive is the membership subscriber that applies gossip items.
 func (r *Registry) Receive(event membership.Event) {
 	if event.Kind == membership.EventItem {
 		r.Apply(event.Item)
 	}
 }
 
-// Apply merges one gossip item; items of other kinds are ignored.
+// Apply applies one gossip item. Items with other key prefixes are ignored.
 func (r *Registry) Apply(item membership.Item) {
 	switch {
 	case strings.HasPrefix(item.Key, PrefixMachine):
@@ -223,7 +228,7 @@
 	case strings.HasPrefix(item.Key, PrefixLoad):
 		record := LoadRecord{}
 		if avrocodec.Unmarshal(loadSchema, item.Payload, &record) == nil {
-			r.change(item.Key[len(PrefixLoad):], func(held *entry) { held.reported(record, time.Now()) })
+			r.change(item.Key[len(PrefixLoad):], func(state *engineState) { state.applyLoad(record, time.Now()) })
 		}
 	}
 }
@@ -236,28 +241,28 @@
 }
 
 func (r *Registry) update(name string, change func(*Engine)) {
-	r.change(name, func(held *entry) { change(&held.view) })
+	r.change(name, func(state *engineState) { change(&state.view) })
 }
 
-func (r *Registry) change(name string, change func(*entry)) {
+func (r *Registry) change(name string, change func(*engineState)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held, known := r.engines[name]
+	state, known := r.engines[name]
 	if !known {
-		held = &entry{view: Engine{Name: name}}
-		r.engines[name] = held
+		state = &engineState{view: Engine{Name: name}}
+		r.engines[name] = state
 	}
-	change(held)
+	change(state)
 }
 
-// Engines returns all engines that were not removed, in name order.
+// Engines returns the engines of the machine list, in name order.
 func (r *Registry) Engines() []Engine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	views := make([]Engine, 0, len(r.engines))
-	for _, held := range r.engines {
-		if held.view.Machine.Address != "" && !held.view.Machine.Removed {
-			views = append(views, held.view)
+	for _, state := range r.engines {
+		if state.view.Machine.Address != "" && !state.view.Machine.Removed {
+			views = append(views, state.view)
 		}
 	}
 	sort.Slice(views, func(a, b int) bool { return views[a].Name < views[b].Name })
@@ -275,45 +280,46 @@
 	return chosen
 }
 
-// Engine returns one engine.
+// Engine returns the engine with the given name.
 func (r *Registry) Engine(name string) (Engine, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held, known := r.engines[name]
+	state, known := r.engines[name]
 	if !known {
 		return Engine{}, false
 	}
-	return held.view, true
+	return state.view, true
 }
 
 // Begin counts a request sent to an engine.
 func (r *Registry) Begin(name string) {
-	r.change(name, func(held *entry) { held.record(1, time.Now()) })
+	r.change(name, func(state *engineState) { state.record(1, time.Now()) })
 }
 
-// End counts the end of a request. Consecutive failures eject the engine for
-// a time that doubles; a success ends the ejection.
+// End counts the end of a request. From the second consecutive failure, each
+// failure ejects the engine, at first for ejectBase and then for twice the
+// previous time, up to ejectMax. A success ends the ejection.
 func (r *Registry) End(name string, failed bool, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held, known := r.engines[name]
+	state, known := r.engines[name]
 	if !known {
 		return
 	}
-	held.record(-1, now)
+	state.record(-1, now)
 	if !failed {
-		held.failures = 0
-		held.view.EjectedUntil = time.Time{}
+		state.failures = 0
+		state.view.EjectedUntil = time.Time{}
 		return
 	}
-	held.failures++
-	if held.failures >= ejectAfterFailures {
-		pause := ejectBase << min(held.failures-ejectAfterFailures, 6)
-		held.view.EjectedUntil = now.Add(min(pause, ejectCeiling))
+	state.failures++
+	if state.failures >= ejectAfterFailures {
+		pause := ejectBase << min(state.failures-ejectAfterFailures, 6)
+		state.view.EjectedUntil = now.Add(min(pause, ejectMax))
 	}
 }
 
-// FromMachine makes the record of a machine list entry.
+// FromMachine returns the record of a machine list entry.
 func FromMachine(machine storage.Machine) MachineRecord {
 	return MachineRecord{Address: machine.Address, Service: machine.Service, Leaving: machine.State == storage.MachineLeaving}
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -11,19 +11,20 @@
 	"topazpulley/internal/registry"
 )
 
-func known(t require.TestingT, engines *registry.Registry) registry.Engine {
+func getEngine(t require.TestingT, engines *registry.Registry) registry.Engine {
 	view, found := engines.Engine("e")
 	require.True(t, found)
 	return view
 }
 
+// report applies a load report for the engine.
 func report(engines *registry.Registry, online int) {
 	engines.Apply(membership.Item{Key: registry.PrefixLoad + "e", Payload: registry.LoadRecord{Online: online}.Encode()})
 }
 
-// TestNetSinceCountsWhatTheReportCannotKnow: begins and ends after a report
-// move the estimate both ways, and nothing is counted twice.
-func TestNetSinceCountsWhatTheReportCannotKnow(t *testing.T) {
+// TestNetSinceCountsRequestsAfterReport checks that begins and ends after a load
+// report are counted exactly once.
+func TestNetSinceCountsRequestsAfterReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := registry.New()
 		report(engines, 0)
@@ -36,27 +37,27 @@
 				engines.Begin("e")
 				inFlight++
 			}
-			require.Equal(t, inFlight, known(t, engines).InFlight)
-			require.Equal(t, inFlight, known(t, engines).NetSince, "all of it is newer than the report")
+			require.Equal(t, inFlight, getEngine(t, engines).InFlight)
+			require.Equal(t, inFlight, getEngine(t, engines).NetSince, "every request began after the report")
 		}
 	})
 }
 
-func TestFailuresEjectAndASuccessForgives(t *testing.T) {
+func TestFailuresEjectUntilSuccess(t *testing.T) {
 	engines := registry.New()
 	now := time.Now()
 	engines.Apply(membership.Item{Key: registry.PrefixMachine + "e", Payload: registry.MachineRecord{Address: "a", Service: "s"}.Encode()})
 	engines.Apply(membership.Item{Key: registry.PrefixEngine + "e", Payload: registry.EngineRecord{Up: true, State: "ready"}.Encode()})
-	require.True(t, known(t, engines).Serving(now))
+	require.True(t, getEngine(t, engines).Serving(now))
 	for range 2 {
 		engines.Begin("e")
 		engines.End("e", true, now)
 	}
-	require.False(t, known(t, engines).Serving(now))
-	require.True(t, known(t, engines).Serving(now.Add(time.Second)))
+	require.False(t, getEngine(t, engines).Serving(now))
+	require.True(t, getEngine(t, engines).Serving(now.Add(time.Second)))
 	engines.Begin("e")
 	engines.End("e", false, now)
-	require.True(t, known(t, engines).Serving(now))
+	require.True(t, getEngine(t, engines).Serving(now))
 }
 
 func TestRemovedAndLeavingEnginesDoNotServe(t *testing.T) {
@@ -67,7 +68,7 @@
 	machine(registry.MachineRecord{Address: "a", Service: "s"})
 	require.Len(t, engines.OfService("s"), 1)
 	machine(registry.MachineRecord{Address: "a", Service: "s", Leaving: true})
-	require.False(t, known(t, engines).Serving(time.Now()))
+	require.False(t, getEngine(t, engines).Serving(time.Now()))
 	machine(registry.MachineRecord{Removed: true})
 	require.Empty(t, engines.OfService("s"))
 }
