--- a/internal/revision/holder.go
+++ b/internal/revision/holder.go
@@ -7,9 +7,10 @@
 	"topazpulley/internal/bundle"
 )
 
-// Holder holds the revision in force on this daemon and the highest one that it
-// has stored for its zone. Both only ever rise, and the stored one is never
-// below the one in force. mutex guards all fields.
+// Holder keeps the daemon's current revision, which is the one in effect, and the
+// highest revision that it has stored for its zone. Neither number ever
+// decreases, and the stored revision is never lower than the current one. mutex
+// guards all fields.
 type Holder struct {
 	mutex       sync.RWMutex
 	stored      Revision
@@ -24,15 +25,17 @@
 // NewHolder returns a holder without a revision.
 func NewHolder() *Holder { return &Holder{} }
 
-// Subscribe adds a function that is called after each rise.
+// Subscribe adds a function that is called after each change of the current
+// revision.
 func (h *Holder) Subscribe(subscriber func(Revision)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.subscribers = append(h.subscribers, subscriber)
 }
 
-// Apply puts a revision in force if it is higher than the present one. The
-// text is that of the revision's active bundle, or empty if it has none.
+// Apply makes next the current revision if it is higher than the present one, and
+// reports whether it did. text is the text of the revision's active bundle, or
+// empty if it has none.
 func (h *Holder) Apply(next Revision, text string) (bool, error) {
 	var parsed *bundle.Bundle
 	if next.Active != "" {
@@ -58,7 +61,8 @@
 	return true, nil
 }
 
-// Store keeps a revision for the zone without putting it in force.
+// Store stores a revision, if it is higher than the stored one, without making it
+// current.
 func (h *Holder) Store(offered Revision, text string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -75,35 +79,35 @@
 	return h.stored, h.storedText
 }
 
-// Confirm records that the revision was found to be the highest.
+// Confirm records that the current revision was confirmed as the highest at now.
 func (h *Holder) Confirm(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.confirmedAt = now
 }
 
-// ConfirmedAt returns when the revision was last found to be the highest.
+// ConfirmedAt returns when the current revision was last confirmed as the highest.
 func (h *Holder) ConfirmedAt() time.Time {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
 	return h.confirmedAt
 }
 
-// Current returns the revision in force and its bundle, or nil.
+// Current returns the current revision and its active bundle, which may be nil.
 func (h *Holder) Current() (Revision, *bundle.Bundle) {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
 	return h.current, h.active
 }
 
-// Text returns the revision in force and the text of its bundle.
+// Text returns the current revision and the text of its active bundle.
 func (h *Holder) Text() (Revision, string) {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
 	return h.current, h.text
 }
 
-// Services returns the names of the services in force.
+// Services returns the service names of the active bundle.
 func (h *Holder) Services() []string {
 	_, active := h.Current()
 	if active == nil {
@@ -112,7 +116,8 @@
 	return active.ServiceNames()
 }
 
-// BatchPolicy returns the policy of a service that runs batch items.
+// BatchPolicy returns the policy of a service, and whether the service runs batch
+// items.
 func (h *Holder) BatchPolicy(service string) (bundle.Policy, bool) {
 	_, active := h.Current()
 	if active == nil {
@@ -122,7 +127,7 @@
 	return definition.Policy, known && definition.Kind == bundle.KindModel
 }
 
-// TenantWeight returns a tenant's share of batch capacity.
+// TenantWeight returns a tenant's weight for batch capacity, at least 1.
 func (h *Holder) TenantWeight(tenant string) int {
 	_, active := h.Current()
 	if active == nil {
--- a/internal/revision/model_test.go
+++ b/internal/revision/model_test.go
@@ -16,19 +16,19 @@
 	"topazpulley/internal/storage"
 )
 
-const manyCalls = 1e9
+const operationsPerSecond = 1e9
 
-// TestOneWinner: operators that race on the same base with lost answers get
-// one winner each time; repeating an operation id returns what it made.
+// TestOneWinner checks that of two appends with the same base exactly one
+// succeeds, also when answers are lost and the append is repeated.
 func TestOneWinner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		loseNext := false
+		loseNextAnswer := false
 		services := &emulator.InProcess{Platform: emulator.NewPlatform(), LoseAnswer: func() bool {
-			lost := loseNext
-			loseNext = false
+			lost := loseNextAnswer
+			loseNextAnswer = false
 			return lost
 		}}
-		log := revision.NewLog(storage.NewClient(services, manyCalls))
+		log := revision.NewLog(storage.NewClient(services, operationsPerSecond))
 		made := map[int64]string{}
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			head, err := log.Head(t.Context())
@@ -36,7 +36,7 @@
 			for operator := range 2 {
 				operation := fmt.Sprintf("%d-%d", step, operator)
 				change := revision.Change{Kind: revision.KindAccept, Subject: "s", Operator: fmt.Sprint(operator), OperationID: operation, Base: head.Number}
-				loseNext = rapid.Bool().Draw(t, "lose")
+				loseNextAnswer = rapid.Bool().Draw(t, "lose")
 				ctx, cancel := context.WithCancel(context.Background())
 				time.AfterFunc(time.Millisecond, cancel)
 				appended, err := log.Append(ctx, change, time.Now())
@@ -55,29 +55,29 @@
 	})
 }
 
-// racing lets another operator act between an operator's read of the head and
-// its write.
-type racing struct {
+// racingTable calls beforeWrite once before a transaction: after an operator has
+// read the head and before its write.
+type racingTable struct {
 	*emulator.InProcess
-	between func()
+	beforeWrite func()
 }
 
 // Transact implements storage.Table.
-func (r *racing) Transact(ctx context.Context, transaction storage.Transaction) (storage.Version, error) {
-	if between := r.between; between != nil {
-		r.between = nil
-		between()
+func (r *racingTable) Transact(ctx context.Context, transaction storage.Transaction) (storage.Version, error) {
+	if beforeWrite := r.beforeWrite; beforeWrite != nil {
+		r.beforeWrite = nil
+		beforeWrite()
 	}
 	return r.InProcess.Transact(ctx, transaction)
 }
 
 func TestOneWinnerBetweenReadAndWrite(t *testing.T) {
-	services := &racing{InProcess: &emulator.InProcess{Platform: emulator.NewPlatform()}}
-	log := revision.NewLog(storage.NewClient(services, manyCalls))
+	services := &racingTable{InProcess: &emulator.InProcess{Platform: emulator.NewPlatform()}}
+	log := revision.NewLog(storage.NewClient(services, operationsPerSecond))
 	change := func(operator string) (revision.Revision, error) {
 		return log.Append(t.Context(), revision.Change{Kind: revision.KindAccept, Subject: "s", Operator: operator, OperationID: operator, Base: 0}, time.Now())
 	}
-	services.between = func() {
+	services.beforeWrite = func() {
 		winner, err := change("first")
 		require.NoError(t, err)
 		require.Equal(t, int64(1), winner.Number)
@@ -90,8 +90,8 @@
 	require.Equal(t, "first", head.Operator)
 }
 
-// TestNeverReverts: whatever order revisions arrive in, the one in force only
-// rises, and so does the stored one.
+// TestNeverReverts checks that the numbers of the current and the stored revision
+// never decrease, whatever the order in which revisions arrive.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holder := revision.NewHolder()
@@ -114,9 +114,9 @@
 	})
 }
 
-// TestQuorumsMeet: in a zone of any size, those that stored a revision, less
-// one that restarted, and those that a restarted daemon asks overlap.
-func TestQuorumsMeet(t *testing.T) {
+// TestQuorumsOverlap checks for all zone sizes that a read quorum contains a
+// member of every store quorum other than the restarted member.
+func TestQuorumsOverlap(t *testing.T) {
 	for members := 2; members < 500; members++ {
 		survivors := revision.StoreQuorum(members) - 1
 		others := members - 1
@@ -125,8 +125,8 @@
 	}
 }
 
-func TestWithdrawPutsTheEarlierBundleBack(t *testing.T) {
-	log := revision.NewLog(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, manyCalls))
+func TestWithdrawRestoresEarlierBundle(t *testing.T) {
+	log := revision.NewLog(storage.NewClient(&emulator.InProcess{Platform: emulator.NewPlatform()}, operationsPerSecond))
 	step := 0
 	change := func(kind revision.Kind, subject string) (revision.Revision, error) {
 		step++
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,6 +1,9 @@
-// Package revision keeps the configuration log: an append-only sequence of
-// revisions in the platform's table, of which the highest is in force
-// everywhere. Nothing ever reverts; a withdrawal is a new revision.
+// Package revision implements the configuration log: an append-only sequence of
+// revisions in the platform's table. All daemons apply the highest revision.
+// Revisions are never removed; a withdrawal is a new revision.
+//
+// Log reads and appends revisions, Holder keeps the revision that is current on
+// this daemon, and Watcher keeps Holder up to date.
 package revision
 
 import (
@@ -17,16 +20,16 @@
 	"topazpulley/internal/storage"
 )
 
-// Kind says what a revision does.
+// Kind is the type of a revision.
 type Kind string
 
 // The kinds of revision.
 const (
-	// KindAccept records a signed-off bundle; it changes nothing in force.
+	// KindAccept records a signed bundle. The active bundle stays the same.
 	KindAccept Kind = "accept"
-	// KindRoll puts an accepted bundle in force.
+	// KindRoll activates an accepted bundle.
 	KindRoll Kind = "roll"
-	// KindWithdraw puts the bundle that was in force before back.
+	// KindWithdraw withdraws the active bundle and activates the previous one.
 	KindWithdraw Kind = "withdraw"
 )
 
@@ -36,10 +39,10 @@
 	Kind   Kind  `json:"kind"`
 	// Subject is the digest of the bundle that the revision is about.
 	Subject string `json:"subject"`
-	// Active is the digest of the bundle in force from this revision on, or
+	// Active is the digest of the bundle that is active as of this revision, or
 	// empty.
 	Active string `json:"active"`
-	// Earlier lists the bundles that were in force before, the latest last.
+	// Earlier are the digests of previously active bundles, the latest last.
 	Earlier []string `json:"earlier,omitempty"`
 	// Signatures approve the Subject.
 	Signatures  []bundle.Signature `json:"signatures,omitempty"`
@@ -57,7 +60,7 @@
 
 func key(number int64) string { return fmt.Sprintf("%s%012d", prefix, number) }
 
-// BundleObject names a bundle's text in the object store.
+// BundleObject returns the object name of a bundle's text.
 func BundleObject(digest string) string { return "bundles/" + digest }
 
 // Log reads and appends revisions.
@@ -92,23 +95,24 @@
 	return history, nil
 }
 
-// Change is an operator's wish.
+// Change is a revision that an operator requests.
 type Change struct {
 	Kind Kind
 	// Subject is the digest of the bundle.
 	Subject    string
 	Signatures []bundle.Signature
 	Operator   string
-	// OperationID is chosen by the operator's client; a repeated call with the
-	// same one returns the revision that the first one made.
+	// OperationID is chosen by the operator's client. A repeated call with the
+	// same id returns the revision of the first call.
 	OperationID string
-	// Base is the head that the operator has seen; another head is a
-	// conflict. Negative means any.
+	// Base is the number of the head that the change is based on. If the head
+	// is another revision, the change is a conflict. A negative value allows
+	// any head.
 	Base int64
 }
 
-// Append adds a revision. A racing operator makes it a conflict that names the
-// winner.
+// Append appends a revision. If another operator appends at the same time, it
+// returns a conflict that names the other revision.
 func (l *Log) Append(ctx context.Context, change Change, now time.Time) (Revision, error) {
 	history, err := l.History(ctx, historyPageSize)
 	if err != nil {
@@ -124,7 +128,7 @@
 		head = history[0]
 	}
 	if change.Base >= 0 && head.Number != change.Base {
-		return head, overtaken(head)
+		return head, overtakenBy(head)
 	}
 	next, err := head.next(change, history, now)
 	if err != nil {
@@ -133,9 +137,9 @@
 	return l.insert(ctx, next)
 }
 
-func overtaken(winner Revision) *failure.Error {
+func overtakenBy(existing Revision) *failure.Error {
 	return failure.New(failure.KindConflict, "revision_overtaken",
-		"operator %q made revision %d (%s of %.12s) first: look at it and decide again", winner.Operator, winner.Number, winner.Kind, winner.Subject).WithNotRun()
+		"operator %q created revision %d (%s of %.12s) first: review it and retry", existing.Operator, existing.Number, existing.Kind, existing.Subject).WithNotRun()
 }
 
 func (l *Log) insert(ctx context.Context, next Revision) (Revision, error) {
@@ -152,11 +156,11 @@
 	if !errors.As(err, &conflict) {
 		return next, err
 	}
-	winner := Revision{}
-	if json.Unmarshal(conflict.Rows[0].Value, &winner) == nil && winner.OperationID == next.OperationID {
-		return winner, nil
+	existing := Revision{}
+	if json.Unmarshal(conflict.Rows[0].Value, &existing) == nil && existing.OperationID == next.OperationID {
+		return existing, nil
 	}
-	return winner, overtaken(winner)
+	return existing, overtakenBy(existing)
 }
 
 // next computes the revision that follows the head.
@@ -192,15 +196,15 @@
 		r.Active = r.Subject
 		return r, nil
 	}
-	return r, failure.New(failure.KindNotFound, "bundle_not_accepted", "bundle %.12s is not among the accepted ones: propose it first", r.Subject)
+	return r, failure.New(failure.KindNotFound, "bundle_not_accepted", "bundle %.12s has not been accepted: propose it first", r.Subject)
 }
 
 func (r Revision) withdraw(head Revision) (Revision, error) {
 	if head.Active != r.Subject {
-		return r, failure.New(failure.KindConflict, "bundle_not_active", "bundle %.12s is not in force, %.12s is", r.Subject, head.Active)
+		return r, failure.New(failure.KindConflict, "bundle_not_active", "bundle %.12s is not active, %.12s is", r.Subject, head.Active)
 	}
 	if len(head.Earlier) == 0 {
-		return r, failure.New(failure.KindConflict, "nothing_earlier", "no bundle was in force before: roll another one instead")
+		return r, failure.New(failure.KindConflict, "nothing_earlier", "no bundle was active before: roll another bundle instead")
 	}
 	last := len(head.Earlier) - 1
 	r.Active = head.Earlier[last]
--- a/internal/revision/watcher.go
+++ b/internal/revision/watcher.go
@@ -21,12 +21,11 @@
 	"topazpulley/internal/storage"
 )
 
-// Methods of the peer protocol that watchers answer.
+// Peer methods that watchers handle.
 const (
-	// MethodFetch reads the revision in force on another daemon, or the one
-	// that it has stored.
+	// MethodFetch reads another daemon's current or stored revision.
 	MethodFetch = "revision.fetch"
-	// MethodOffer gives another daemon a revision to store.
+	// MethodOffer sends another daemon a revision to store.
 	MethodOffer = "revision.offer"
 )
 
@@ -36,19 +35,21 @@
 	fetchTimeout    = 3 * time.Second
 	offerTimeout    = time.Second
 	retryInterval   = 500 * time.Millisecond
-	wantedQueue     = 64
+	eventQueueSize  = 64
 )
 
-// FetchRequest names the bundle that the caller has already; its text is then
-// left out of the answer.
+// FetchRequest requests a daemon's current or stored revision.
 type FetchRequest struct {
+	// Active is the digest of the bundle that the caller has. The answer omits
+	// the text of that bundle.
 	Active string
-	// Stored asks for the highest stored revision, on behalf of a daemon that
-	// starts; only a daemon that has itself started answers.
+	// Stored requests the highest stored revision instead of the current one. A
+	// starting daemon sets it; a daemon that is itself starting rejects it.
 	Stored bool
 }
 
-// FetchAnswer carries a revision and the text of its bundle.
+// FetchAnswer contains a revision in JSON and the text of its active bundle. It
+// is also the message of MethodOffer.
 type FetchAnswer struct {
 	Revision []byte
 	Text     string
@@ -66,8 +67,9 @@
 // Schema implements peer.Message.
 func (FetchAnswer) Schema() avro.Schema { return fetchAnswerSchema }
 
-// Watcher keeps the holder at the highest revision: a few watchers per zone
-// poll the log, and every daemon fetches what a peer shows to be higher.
+// Watcher keeps the holder at the highest revision. In each zone, watchersPerZone
+// daemons poll the log; every daemon fetches higher revisions that its peers
+// announce.
 type Watcher struct {
 	holder    *Holder
 	log       *Log
@@ -76,21 +78,21 @@
 	transport *peer.Transport
 	verify    Verify
 	logger    *slog.Logger
-	wanted    chan membership.Event
+	events    chan membership.Event
 	started   atomic.Bool
 }
 
 // Verify checks the signatures of an active bundle.
 type Verify func(text string, signatures []bundle.Signature) error
 
-// NewWatcher makes a watcher and registers its peer method.
+// NewWatcher returns a watcher and registers its peer methods.
 func NewWatcher(holder *Holder, client *storage.Client, node *cluster.Node, transport *peer.Transport, verify Verify, logger *slog.Logger) *Watcher {
 	watcher := &Watcher{
 		holder: holder, log: NewLog(client), platform: client, node: node, transport: transport,
-		verify: verify, logger: logger, wanted: make(chan membership.Event, wantedQueue),
+		verify: verify, logger: logger, events: make(chan membership.Event, eventQueueSize),
 	}
-	peer.Handle(transport, MethodFetch, watcher.answerFetch)
-	peer.Handle(transport, MethodOffer, watcher.acceptOffer)
+	peer.Handle(transport, MethodFetch, watcher.handleFetch)
+	peer.Handle(transport, MethodOffer, watcher.handleOffer)
 	holder.Subscribe(func(applied Revision) {
 		node.SetRevision(applied.Number)
 		logger.Info("revision_applied", "revision", applied.Number, "kind", applied.Kind, "active", applied.Active, "operator", applied.Operator)
@@ -98,43 +100,45 @@
 	return watcher
 }
 
-// Receive is the membership subscriber that learns of higher revisions.
+// Receive is the membership subscriber that queues announced revisions to be
+// fetched. Events are dropped while the queue is full.
 func (w *Watcher) Receive(event membership.Event) {
 	if event.Kind != membership.EventRevision {
 		return
 	}
 	select {
-	case w.wanted <- event:
+	case w.events <- event:
 	default:
 	}
 }
 
-func (w *Watcher) answerFetch(_ context.Context, _ string, request FetchRequest) (FetchAnswer, error) {
-	shown, text := w.holder.Text()
+func (w *Watcher) handleFetch(_ context.Context, _ string, request FetchRequest) (FetchAnswer, error) {
+	found, text := w.holder.Text()
 	if request.Stored {
 		if !w.started.Load() {
-			return FetchAnswer{}, failure.New(failure.KindUnavailable, "starting", "this daemon does not know the highest revision itself").WithNotRun()
+			return FetchAnswer{}, failure.New(failure.KindUnavailable, "starting", "this daemon has not loaded the highest revision yet").WithNotRun()
 		}
-		shown, text = w.holder.Stored()
+		found, text = w.holder.Stored()
 	}
-	return answerWith(shown, text, request.Active)
+	return newFetchAnswer(found, text, request.Active)
 }
 
-// answerWith leaves the text out when the caller has it already.
-func answerWith(shown Revision, text, known string) (FetchAnswer, error) {
-	encoded, err := json.Marshal(shown)
+// newFetchAnswer encodes a revision. It omits the text if known is the digest of
+// the revision's active bundle.
+func newFetchAnswer(found Revision, text, known string) (FetchAnswer, error) {
+	encoded, err := json.Marshal(found)
 	if err != nil {
 		return FetchAnswer{}, failure.Wrap(err, failure.KindInternal, "encode", "cannot encode the revision")
 	}
-	if shown.Active == known {
+	if found.Active == known {
 		text = ""
 	}
 	return FetchAnswer{Revision: encoded, Text: text}, nil
 }
 
-// acceptOffer stores a revision for the zone. It does not put it in force:
-// that follows once a majority has stored it.
-func (w *Watcher) acceptOffer(_ context.Context, _ string, offer FetchAnswer) (peer.Empty, error) {
+// handleOffer stores a revision without making it current. The daemon that
+// offers it makes it current and announces it once a majority has stored it.
+func (w *Watcher) handleOffer(_ context.Context, _ string, offer FetchAnswer) (peer.Empty, error) {
 	offered := Revision{}
 	if err := json.Unmarshal(offer.Revision, &offered); err != nil {
 		return peer.Empty{}, failure.Wrap(err, failure.KindInvalid, "bad_revision", "the offered revision is damaged")
@@ -146,7 +150,7 @@
 	return peer.Empty{}, nil
 }
 
-// Run polls and fetches until the context ends.
+// Run polls the log and fetches announced revisions until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.fetchLoop(ctx)
 	periodic.Run(ctx, pollInterval, func() { w.pollIfWatcher(ctx) })
@@ -177,8 +181,8 @@
 	return w.ApplyFromTable(bounded, head)
 }
 
-// ApplyFromTable puts a revision read from the log in force, reading its
-// bundle from the object store.
+// ApplyFromTable makes a revision that was read from the log current. It reads the
+// active bundle from the object store if the bundle changed.
 func (w *Watcher) ApplyFromTable(ctx context.Context, head Revision) error {
 	current, text := w.holder.Text()
 	if head.Number <= current.Number {
@@ -192,13 +196,14 @@
 		}
 		text = string(content)
 	}
-	return w.learn(ctx, head, text)
+	return w.storeAndApply(ctx, head, text)
 }
 
-// check verifies that a text is the revision's active bundle and signed.
+// check verifies that text is the revision's active bundle. If that bundle is the
+// revision's subject, it also verifies the signatures.
 func (w *Watcher) check(next Revision, text string) error {
 	if next.Active != "" && bundle.Digest(text) != next.Active {
-		return failure.New(failure.KindInternal, "bundle_digest", "the text of bundle %.12s does not fit its digest", next.Active)
+		return failure.New(failure.KindInternal, "bundle_digest", "the text of bundle %.12s does not match its digest", next.Active)
 	}
 	if next.Active != "" && next.Subject == next.Active {
 		return w.verify(text, next.Signatures)
@@ -206,10 +211,10 @@
 	return nil
 }
 
-// learn takes a revision that is new to the zone: a majority of the zone's
-// members must store it before it is put in force, so that a daemon that
-// restarts while the table is down finds it again.
-func (w *Watcher) learn(ctx context.Context, next Revision, text string) error {
+// storeAndApply stores a revision that is new to the zone and makes it current
+// once a majority of the zone's members has stored it. A daemon that restarts
+// while the table is down can then read it from the other members.
+func (w *Watcher) storeAndApply(ctx context.Context, next Revision, text string) error {
 	if err := w.check(next, text); err != nil {
 		return err
 	}
@@ -217,10 +222,10 @@
 	if err := w.offerToZone(ctx, next, text); err != nil {
 		return err
 	}
-	return w.putInForce(next, text)
+	return w.makeCurrent(next, text)
 }
 
-func (w *Watcher) putInForce(next Revision, text string) error {
+func (w *Watcher) makeCurrent(next Revision, text string) error {
 	if _, err := w.holder.Apply(next, text); err != nil {
 		return err
 	}
@@ -240,11 +245,11 @@
 	return peers
 }
 
-// offerToZone returns once a majority of the zone, this daemon included, has
-// stored the revision.
+// offerToZone offers the revision to the zone's other members and returns nil once
+// a majority of the zone, including this daemon, has stored it.
 func (w *Watcher) offerToZone(ctx context.Context, next Revision, text string) error {
 	peers := w.zonePeers()
-	offer, err := answerWith(next, text, "")
+	offer, err := newFetchAnswer(next, text, "")
 	if err != nil {
 		return err
 	}
@@ -257,29 +262,29 @@
 			acknowledged <- err == nil
 		}()
 	}
-	wanted := StoreQuorum(len(peers) + 1)
+	required := StoreQuorum(len(peers) + 1)
 	stored := 1
 	for range peers {
-		if stored >= wanted {
+		if stored >= required {
 			break
 		}
 		if <-acknowledged {
 			stored++
 		}
 	}
-	if stored < wanted {
-		return failure.New(failure.KindUnavailable, "no_majority", "%d of %d zone members stored revision %d, %d are needed", stored, len(peers)+1, next.Number, wanted)
+	if stored < required {
+		return failure.New(failure.KindUnavailable, "no_majority", "%d of %d zone members stored revision %d, %d are needed", stored, len(peers)+1, next.Number, required)
 	}
 	return nil
 }
 
-// StoreQuorum is the number of a zone's members that must store a revision
-// before any of them puts it in force: a majority.
+// StoreQuorum returns the number of a zone's members that must store a revision
+// before any of them makes it current: a majority.
 func StoreQuorum(members int) int { return members/2 + 1 }
 
-// ReadQuorum is the number of the other members that a restarted one, which
-// has forgotten everything, must ask to meet at least one that stored: the
-// members that stored, less the restarted one, and those asked overlap.
+// ReadQuorum returns the number of other members that a restarted member must
+// read from. Among them is always one that stored the revision, even if the
+// restarted member was part of the store quorum.
 func ReadQuorum(members int) int { return members - StoreQuorum(members) + 1 }
 
 func (w *Watcher) fetchLoop(ctx context.Context) {
@@ -287,7 +292,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case event := <-w.wanted:
+		case event := <-w.events:
 			current, _ := w.holder.Current()
 			if event.Revision <= current.Number {
 				continue
@@ -299,12 +304,13 @@
 	}
 }
 
-// fetchFrom takes the revision in force on another daemon. One of this zone has
-// seen a majority store it; from another zone, this zone must still store it.
+// fetchFrom fetches and applies another daemon's current revision. If the daemon is
+// in this zone, a majority of the zone has stored the revision. If it is in
+// another zone, this zone must store the revision first.
 func (w *Watcher) fetchFrom(ctx context.Context, address string) error {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	next, text, err := w.ask(bounded, address, false)
+	next, text, err := w.fetch(bounded, address, false)
 	if err != nil {
 		return err
 	}
@@ -313,14 +319,15 @@
 			if err := w.check(next, text); err != nil {
 				return err
 			}
-			return w.putInForce(next, text)
+			return w.makeCurrent(next, text)
 		}
 	}
-	return w.learn(bounded, next, text)
+	return w.storeAndApply(bounded, next, text)
 }
 
-// ask reads another daemon's revision in force, or its stored one.
-func (w *Watcher) ask(ctx context.Context, address string, stored bool) (Revision, string, error) {
+// fetch reads another daemon's current or stored revision and the text of its
+// active bundle.
+func (w *Watcher) fetch(ctx context.Context, address string, stored bool) (Revision, string, error) {
 	current, text := w.holder.Text()
 	next := Revision{}
 	answer, err := peer.Call[FetchRequest, FetchAnswer](ctx, w.transport, address, MethodFetch, FetchRequest{Active: current.Active, Stored: stored})
@@ -336,13 +343,14 @@
 	return next, text, nil
 }
 
-// Bootstrap waits until the daemon holds the highest revision: from the table,
-// or, while the table is down, from a quorum of the zone's members.
+// Bootstrap blocks until the daemon has the highest revision. It reads the
+// revision from the table or, while the table is down, from a read quorum of the
+// zone's members.
 func (w *Watcher) Bootstrap(ctx context.Context) error {
 	for {
 		err := w.poll(ctx)
 		if err != nil {
-			err = w.askZone(ctx)
+			err = w.fetchFromZone(ctx)
 		}
 		if err == nil {
 			w.started.Store(true)
@@ -351,22 +359,22 @@
 		w.logger.Info("waiting_for_revision", "error", err)
 		select {
 		case <-ctx.Done():
-			return failure.Wrap(ctx.Err(), failure.KindUnavailable, "no_revision", "stopped before a revision was known")
+			return failure.Wrap(ctx.Err(), failure.KindUnavailable, "no_revision", "stopped before a revision was loaded")
 		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// askZone reads the stored revisions of the zone's other members and takes the
-// highest once a read quorum has answered.
-func (w *Watcher) askZone(ctx context.Context) error {
+// fetchFromZone reads the stored revisions of the zone's other members and
+// applies the highest if a read quorum has answered.
+func (w *Watcher) fetchFromZone(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	peers := w.zonePeers()
 	highest, highestText := w.holder.Stored()
 	answers := 0
 	for _, member := range peers {
-		next, text, err := w.ask(bounded, member.Address, true)
+		next, text, err := w.fetch(bounded, member.Address, true)
 		if err != nil {
 			continue
 		}
@@ -375,9 +383,9 @@
 			highest, highestText = next, text
 		}
 	}
-	wanted := ReadQuorum(len(peers) + 1)
-	if answers < wanted {
-		return failure.New(failure.KindUnavailable, "no_read_quorum", "%d of %d zone members answered, %d are needed", answers, len(peers), wanted)
+	required := ReadQuorum(len(peers) + 1)
+	if answers < required {
+		return failure.New(failure.KindUnavailable, "no_read_quorum", "%d of %d zone members answered, %d are needed", answers, len(peers), required)
 	}
-	return w.learn(bounded, highest, highestText)
+	return w.storeAndApply(bounded, highest, highestText)
 }
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -75,7 +75,7 @@
 mutant no_rise_check internal/revision/holder.go \
 	'next.Number <= h.current.Number' 'false' internal/revision TestNeverReverts
 mutant no_majority internal/revision/watcher.go \
-	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsMeet
+	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsOverlap
 mutant no_fence internal/emulator/engine.go \
 	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverFalls
 mutant no_leaving_check internal/registry/registry.go \
