--- a/internal/batch/model_test.go
+++ b/internal/batch/model_test.go
@@ -28,13 +28,14 @@
 // dispatch, commit, crash and lose answers, and the tenant cancels. The failure
 // messages use the invariant names of the specification.
 type chunkModel struct {
-	store             *batch.Store
-	loseNext          bool
-	job               batch.Job
-	jobVersion        storage.Version
-	claimed           map[string]batch.ClaimedChunk
-	sequence          map[string]int
-	dispatched        map[int]int
+	store      *batch.Store
+	loseNext   bool
+	job        batch.Job
+	jobVersion storage.Version
+	claimed    map[string]batch.ClaimedChunk
+	sequence   map[string]int
+	dispatched map[int]int
+	// attempts is the number of dispatches, used for unique attempt ids.
 	attempts          int
 	cancelled         bool
 	committedAtCancel int
@@ -69,8 +70,8 @@
 	return fmt.Sprintf("owner-%d", rapid.IntRange(0, modelOwners-1).Draw(t, "owner"))
 }
 
-// holder draws an owner with a claim that may be stale.
-func (m *chunkModel) holder(t *rapid.T) (string, batch.ClaimedChunk) {
+// claimant draws an owner with a claim that may be stale.
+func (m *chunkModel) claimant(t *rapid.T) (string, batch.ClaimedChunk) {
 	if len(m.claimed) == 0 {
 		t.Skip("nobody holds the chunk")
 	}
@@ -91,7 +92,7 @@
 }
 
 func (m *chunkModel) commit(t *rapid.T) {
-	owner, claimed := m.holder(t)
+	owner, claimed := m.claimant(t)
 	remaining := claimed.Chunk.Remaining()
 	if len(remaining) == 0 {
 		t.Skip("nothing to commit")
@@ -121,7 +122,7 @@
 // dispatch records the intent of an item that must run at most once, then
 // counts the item as sent.
 func (m *chunkModel) dispatch(t *rapid.T) {
-	owner, claimed := m.holder(t)
+	owner, claimed := m.claimant(t)
 	remaining := claimed.Chunk.Remaining()
 	if len(remaining) == 0 {
 		t.Skip("nothing to send")
@@ -211,6 +212,7 @@
 	require.Equal(t, modelItems, m.committed(t), "NoneLost")
 }
 
+// TestChunkModel checks the invariants of spec/chunk.pml after every action.
 func TestChunkModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newChunkModel(t)
--- a/internal/batch/task.go
+++ b/internal/batch/task.go
@@ -89,7 +89,8 @@
 	// committed. A retry commits the same results, because the first attempt may
 	// have been applied.
 	committing int
-	// oldestAt is when the oldest of results was added.
+	// oldestAt is when the first of results was added, or when the last segment
+	// was committed if that is later. The zero time makes a segment due.
 	oldestAt time.Time
 	sequence int
 	// unfinished is the number of items without a result.
