--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -63,19 +63,19 @@
 }
 
 mutant no_chunk_condition internal/batch/store.go \
-	'{Key: next.Key(), Version: held.Version},' '' internal/batch TestChunkModel
+	'{Key: next.Key(), Version: claimed.Version},' '' internal/batch TestChunkModel
 mutant no_job_condition internal/batch/store.go \
-	'{Key: stateKey(next.Job), Version: held.JobVersion},' '' internal/batch 'TestChunkModel|TestNothingIsCommittedAfterACancel'
+	'{Key: stateKey(next.Job), Version: claimed.JobVersion},' '' internal/batch 'TestChunkModel|TestCommitAfterCancelFails'
 mutant no_intent_check internal/batch/chunk.go \
-	'if exists {' 'if false {' internal/batch 'TestIntentIsReplacedOnlyByItsOwnRefusal'
+	'if exists {' 'if false {' internal/batch 'TestOnlyRefusedIntentIsReplaced'
 mutant no_epoch_check internal/batch/chunk.go \
-	'c.Owner != owner || c.Epoch != epoch' 'false' internal/batch TestChunkRefusesAnOldEpoch
+	'c.Owner != owner || c.Epoch != epoch' 'false' internal/batch TestChunkRejectsStaleEpoch
 mutant no_insert_condition internal/revision/revision.go \
 	'Conditions:  []storage.Condition{{Key: key(next.Number)}},' '' internal/revision TestOneWinnerBetweenReadAndWrite
 mutant no_rise_check internal/revision/holder.go \
 	'next.Number <= h.current.Number' 'false' internal/revision TestNeverReverts
 mutant no_majority internal/revision/watcher.go \
-	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsMeet
+	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsOverlap
 mutant no_fence internal/emulator/engine.go \
 	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverFalls
 mutant no_leaving_check internal/registry/registry.go \
@@ -99,7 +99,7 @@
 mutant no_result_copy internal/gateway/results.go \
 	'	g.copyToPeer(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
 mutant no_job_identity internal/batch/store.go \
-	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestResentJobIsTheSameJob
+	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestCreateReturnsExistingJob
 mutant all_failures_not_run internal/engine/client.go \
 	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionHasUnknownOutcome
 mutant no_wait_at_stop internal/daemon/daemon.go \
