--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -1,7 +1,6 @@
-// Package experiment measures what the users measure: batch throughput and the
-// harm that batch work does to the online latency tail. It runs the real
-// daemons against emulated engines over loopback, with load in the shape of
-// the brief.
+// Package experiment measures batch throughput and the effect of batch work on the
+// online tail latency. It runs daemons against emulated engines over loopback, under
+// a synthetic load. Run measures policies; Report renders the results.
 package experiment
 
 import (
@@ -19,59 +18,59 @@
 	Name         string
 	Zones        []string
 	ModelEngines int
-	// BaseRate and BurstRate are online requests a second; a burst of
-	// BurstLength begins every BurstEvery.
+	// BaseRate and BurstRate are online requests per second. A burst of
+	// BurstLength starts every BurstEvery.
 	BaseRate    float64
 	BurstRate   float64
 	BurstEvery  time.Duration
 	BurstLength time.Duration
-	// HeapItems batch items arrive every HeapEvery.
-	HeapItems int
-	HeapEvery time.Duration
-	// LongShare is the share of prompts that are long.
+	// A job of JobItems batch items is submitted every JobInterval.
+	JobItems    int
+	JobInterval time.Duration
+	// LongShare is the share of prompts of longLength.
 	LongShare float64
-	// Window and Guard are the batch policy that the deployment chose.
+	// Window and Guard are the settings batch_window_max and batch_guard.
 	Window int
 	Guard  int
-	// HarmGoal bounds the ratio of the online p99 time to first token with
-	// batch to that without; ThroughputGoal is the share of idle capacity.
-	HarmGoal       float64
-	ThroughputGoal float64
+	// MaxLatencyRatio is the upper limit of Row.LatencyRatio, MinBatchShare the lower
+	// limit of Row.BatchShare.
+	MaxLatencyRatio float64
+	MinBatchShare   float64
 }
 
-// Deployments are the two of the brief.
+// Deployments are the known deployments by name.
 var Deployments = map[string]Deployment{
 	"mwangaza": {
 		Name: "mwangaza", Zones: []string{"kurasini", "ubungo", "mbezi"}, ModelEngines: 12,
 		BaseRate: 60, BurstRate: 160, BurstEvery: 10 * time.Second, BurstLength: 3 * time.Second,
-		HeapItems: 4000, HeapEvery: 10 * time.Second, LongShare: 0.1, Window: 24, Guard: 24,
-		HarmGoal: 1.15, ThroughputGoal: 0.9,
+		JobItems: 4000, JobInterval: 10 * time.Second, LongShare: 0.1, Window: 24, Guard: 24,
+		MaxLatencyRatio: 1.15, MinBatchShare: 0.9,
 	},
 	"palermo": {
 		Name: "palermo", Zones: []string{"monreale", "alcamo", "mazara"}, ModelEngines: 20,
 		BaseRate: 100, BurstRate: 260, BurstEvery: 10 * time.Second, BurstLength: 3 * time.Second,
-		HeapItems: 6000, HeapEvery: 10 * time.Second, LongShare: 0.05, Window: 18, Guard: 18,
-		HarmGoal: 1.05, ThroughputGoal: 0.8,
+		JobItems: 6000, JobInterval: 10 * time.Second, LongShare: 0.05, Window: 18, Guard: 18,
+		MaxLatencyRatio: 1.05, MinBatchShare: 0.8,
 	},
 }
 
 const (
-	modelName     = "model"
-	serviceName   = "assistant"
-	plainName     = "plain"
-	plainEngines  = 3
-	apiKey        = "experiment-key"
-	prefixCount   = 8
-	prefixLength  = 1024
-	shortLength   = 400
-	longLength    = 12000
-	minTokens     = 24
-	maxTokens     = 96
-	batchTokens   = 48
-	unlimitedSize = 1 << 16
+	modelName    = "model"
+	serviceName  = "assistant"
+	plainName    = "plain"
+	plainEngines = 3
+	apiKey       = "experiment-key"
+	prefixCount  = 8
+	prefixLength = 1024
+	shortLength  = 400
+	longLength   = 12000
+	minTokens    = 24
+	maxTokens    = 96
+	batchTokens  = 48
+	unlimited    = 1 << 16
 )
 
-// bundleText returns the bundle of a deployment under a policy.
+// bundleText returns a bundle with the given batch_window_max and batch_guard.
 func bundleText(window, guard int) string {
 	return fmt.Sprintf(`name = "experiment"
 [services.%s]
@@ -99,7 +98,7 @@
 	}
 }
 
-// prefixText is one of the shared prompt prefixes.
+// prefixText returns the shared prompt prefix with the given index.
 func prefixText(index int) string {
 	return strings.Repeat(fmt.Sprintf("shared instructions %d; ", index), prefixLength/20)[:prefixLength]
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,7 +19,7 @@
 	"topazpulley/internal/routing"
 )
 
-// Policy is one way to run a deployment.
+// Policy is a set of options under which a deployment runs.
 type Policy struct {
 	Name    string
 	Options daemon.Options
@@ -28,7 +28,8 @@
 	Guard  int
 }
 
-// Policies by name: the product and the baselines it is measured against.
+// Policies are the known policies by name: "full" is the default configuration,
+// the others are baselines.
 var Policies = map[string]Policy{
 	"full":            {Name: "full"},
 	"lag_corrected":   {Name: "lag_corrected", Options: daemon.Options{Routing: routing.PolicyLagCorrected}},
@@ -39,8 +40,8 @@
 	"window_18":       {Name: "window_18", Window: 18, Guard: 18},
 	"window_22":       {Name: "window_22", Window: 22, Guard: 22},
 	"window_26":       {Name: "window_26", Window: 26, Guard: 26},
-	"batch_ungated":   {Name: "batch_ungated", Guard: unlimitedSize},
-	"batch_static":    {Name: "batch_static", Window: 8, Guard: unlimitedSize},
+	"batch_ungated":   {Name: "batch_ungated", Guard: unlimited},
+	"batch_static":    {Name: "batch_static", Window: 8, Guard: unlimited},
 	"batch_idle_only": {Name: "batch_idle_only", Guard: 1},
 }
 
@@ -57,35 +58,36 @@
 	Guard  int
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles are quantiles of a latency, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// Row is what one policy did, as medians over seeds.
+// Row is the result of one policy; each figure is the median over seeds.
 type Row struct {
 	Policy string `json:"policy"`
-	// FirstToken and Between are online latencies with batch work;
-	// FirstTokenAlone is without any.
-	FirstToken      Quantiles `json:"first_token"`
-	FirstTokenAlone Quantiles `json:"first_token_alone"`
-	Between         Quantiles `json:"between_tokens"`
-	BetweenAlone    Quantiles `json:"between_tokens_alone"`
-	// Harm is the ratio of p99 first token with batch to that without;
-	// HarmSpread is the lowest and highest over seeds.
-	Harm       float64    `json:"harm"`
-	HarmSpread [2]float64 `json:"harm_spread"`
-	// BatchTokens a second, and as a share of the capacity that online leaves.
+	// FirstToken and BetweenTokens are online latencies with batch work, FirstTokenAlone
+	// and BetweenTokensAlone those without.
+	FirstToken         Quantiles `json:"first_token"`
+	FirstTokenAlone    Quantiles `json:"first_token_alone"`
+	BetweenTokens      Quantiles `json:"between_tokens"`
+	BetweenTokensAlone Quantiles `json:"between_tokens_alone"`
+	// LatencyRatio is the online p99 time to first token with batch work divided by
+	// that without; LatencyRatioRange is its minimum and maximum over seeds.
+	LatencyRatio      float64    `json:"harm"`
+	LatencyRatioRange [2]float64 `json:"harm_spread"`
+	// BatchTokens is the batch throughput in tokens per second; BatchShare is its
+	// share of the capacity that online work leaves free.
 	BatchTokens float64 `json:"batch_tokens_per_second"`
 	BatchShare  float64 `json:"batch_share_of_idle"`
-	// Refused and Failed are shares of online requests.
+	// Refused (overloaded) and Failed are shares of online requests.
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
 	// CacheHit is the share of prompt tokens found in prefix caches.
 	CacheHit float64 `json:"cache_hit"`
-	// Wasted is the share of prefilled tokens spent on cancelled batch items.
+	// Wasted is the share of prefilled tokens that belong to cancelled batch items.
 	Wasted float64 `json:"wasted"`
 }
 
@@ -97,13 +99,13 @@
 	Span       string `json:"span"`
 	Window     int    `json:"batch_window_max"`
 	Guard      int    `json:"batch_guard"`
-	// CapacityTokens is the batch throughput without any online work.
+	// CapacityTokens is the batch throughput without online work, in tokens per second.
 	CapacityTokens float64 `json:"capacity_tokens_per_second"`
 	Rows           []Row   `json:"rows"`
 }
 
-// Run measures the policies in turn, once a seed, so that they share whatever
-// the machine does meanwhile.
+// Run measures every policy once per seed and writes progress lines. The policies
+// take turns, so that other load on the machine affects all of them alike.
 func Run(config Config, progress io.Writer) (Report, error) {
 	deployment, known := Deployments[config.Deployment]
 	if !known {
@@ -134,7 +136,7 @@
 				return report, err
 			}
 			rows[name] = append(rows[name], row)
-			fmt.Fprintf(progress, "seed=%d policy=%s harm=%.3f batch_share=%.3f first_token_p99=%.0fms\n", config.FirstSeed+uint64(seed), name, row.Harm, row.BatchShare, row.FirstToken.P99)
+			fmt.Fprintf(progress, "seed=%d policy=%s harm=%.3f batch_share=%.3f first_token_p99=%.0fms\n", config.FirstSeed+uint64(seed), name, row.LatencyRatio, row.BatchShare, row.FirstToken.P99)
 		}
 	}
 	for _, name := range config.Policies {
@@ -168,22 +170,23 @@
 }
 
 const (
-	warmUp         = 2 * time.Second
-	capacityHeap   = 20000
-	batchLeadTime  = 3 * time.Second
-	afterBurstRest = time.Second
+	warmUp           = 2 * time.Second
+	capacityJobItems = 20000
+	batchLeadTime    = 3 * time.Second
+	phasePause       = time.Second
 )
 
-// capacity measures the batch throughput of full engines with no online work.
+// capacity measures the batch throughput of fully loaded engines without online
+// work, in tokens per second.
 func (d Deployment) capacity(span time.Duration) (float64, error) {
-	running, callers, err := d.start(emulator.DefaultEngineModel().MaxRunning, unlimitedSize, daemon.Options{})
+	running, callers, err := d.start(emulator.DefaultEngineModel().MaxRunning, unlimited, daemon.Options{})
 	if err != nil {
 		return 0, err
 	}
 	defer running.Stop()
 	full := d
-	full.HeapItems = capacityHeap
-	if err := full.submitHeaps(callers[0], warmUp, "capacity"); err != nil {
+	full.JobItems = capacityJobItems
+	if err := full.submitJobs(callers[0], warmUp, "capacity"); err != nil {
 		return 0, err
 	}
 	time.Sleep(batchLeadTime)
@@ -192,7 +195,7 @@
 	return float64(measureEngines(running).minus(before).batch) / (span / 2).Seconds(), nil
 }
 
-// measure runs the online load alone and then with batch work.
+// measure runs the online load first without and then with batch work.
 func (d Deployment) measure(policy Policy, span time.Duration, seed uint64, capacity float64) (Row, error) {
 	window, guard := d.Window, d.Guard
 	if policy.Window > 0 {
@@ -208,32 +211,32 @@
 	defer running.Stop()
 	runOnline(callers, d.arrivals(warmUp, len(callers), seed+1, "warm"))
 	alone := runOnline(callers, d.arrivals(span, len(callers), seed, "alone"))
-	time.Sleep(afterBurstRest)
-	heaps := make(chan error, 1)
-	go func() { heaps <- d.submitHeaps(callers[0], span+batchLeadTime, policy.Name) }()
+	time.Sleep(phasePause)
+	submitted := make(chan error, 1)
+	go func() { submitted <- d.submitJobs(callers[0], span+batchLeadTime, policy.Name) }()
 	time.Sleep(batchLeadTime)
 	before, started := measureEngines(running), time.Now()
 	together := runOnline(callers, d.arrivals(span, len(callers), seed, "together"))
 	seconds := time.Since(started).Seconds()
-	used := measureEngines(running).minus(before)
-	if err := <-heaps; err != nil {
+	consumed := measureEngines(running).minus(before)
+	if err := <-submitted; err != nil {
 		return Row{}, err
 	}
-	return d.row(policy, alone, together, used, seconds, capacity), nil
+	return d.row(policy, alone, together, consumed, seconds, capacity), nil
 }
 
-func (d Deployment) row(policy Policy, alone, together *onlineResult, used usage, seconds, capacity float64) Row {
-	online := float64(used.online) / seconds
-	batchRate := float64(used.batch) / seconds
-	asked := float64(max(together.completed+together.refused+together.failed, 1))
+func (d Deployment) row(policy Policy, alone, together *onlineResult, consumed usage, seconds, capacity float64) Row {
+	online := float64(consumed.online) / seconds
+	batchRate := float64(consumed.batch) / seconds
+	requests := float64(max(together.completed+together.refused+together.failed, 1))
 	row := Row{
 		Policy: policy.Name, FirstToken: quantiles(together.firstToken), FirstTokenAlone: quantiles(alone.firstToken),
-		Between: quantiles(together.between), BetweenAlone: quantiles(alone.between),
+		BetweenTokens: quantiles(together.between), BetweenTokensAlone: quantiles(alone.between),
 		BatchTokens: batchRate, BatchShare: batchRate / max(capacity-online, 1),
-		Refused: float64(together.refused) / asked, Failed: float64(together.failed) / asked,
-		CacheHit: float64(used.cachedAll) / float64(max(used.cachedAll+used.prompt, 1)), Wasted: float64(used.wasted) / float64(max(used.prompt, 1)),
+		Refused: float64(together.refused) / requests, Failed: float64(together.failed) / requests,
+		CacheHit: float64(consumed.cached) / float64(max(consumed.cached+consumed.prompt, 1)), Wasted: float64(consumed.wasted) / float64(max(consumed.prompt, 1)),
 	}
-	row.Harm = row.FirstToken.P99 / row.FirstTokenAlone.P99
+	row.LatencyRatio = row.FirstToken.P99 / row.FirstTokenAlone.P99
 	return row
 }
 
@@ -242,7 +245,8 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// medianRow takes the median of each figure over seeds.
+// medianRow returns the median of each figure over seeds. With an even number of
+// rows it takes the greater of the two middle values.
 func medianRow(rows []Row) Row {
 	pick := func(value func(Row) float64) float64 {
 		values := []float64{}
@@ -262,15 +266,15 @@
 	median := Row{
 		Policy:     rows[0].Policy,
 		FirstToken: pickAll(func(r Row) Quantiles { return r.FirstToken }), FirstTokenAlone: pickAll(func(r Row) Quantiles { return r.FirstTokenAlone }),
-		Between: pickAll(func(r Row) Quantiles { return r.Between }), BetweenAlone: pickAll(func(r Row) Quantiles { return r.BetweenAlone }),
-		Harm: pick(func(r Row) float64 { return r.Harm }), BatchTokens: pick(func(r Row) float64 { return r.BatchTokens }),
+		BetweenTokens: pickAll(func(r Row) Quantiles { return r.BetweenTokens }), BetweenTokensAlone: pickAll(func(r Row) Quantiles { return r.BetweenTokensAlone }),
+		LatencyRatio: pick(func(r Row) float64 { return r.LatencyRatio }), BatchTokens: pick(func(r Row) float64 { return r.BatchTokens }),
 		BatchShare: pick(func(r Row) float64 { return r.BatchShare }), Refused: pick(func(r Row) float64 { return r.Refused }),
 		Failed: pick(func(r Row) float64 { return r.Failed }), CacheHit: pick(func(r Row) float64 { return r.CacheHit }), Wasted: pick(func(r Row) float64 { return r.Wasted }),
 	}
-	median.HarmSpread = [2]float64{rows[0].Harm, rows[0].Harm}
+	median.LatencyRatioRange = [2]float64{rows[0].LatencyRatio, rows[0].LatencyRatio}
 	for _, row := range rows {
-		median.HarmSpread[0] = min(median.HarmSpread[0], row.Harm)
-		median.HarmSpread[1] = max(median.HarmSpread[1], row.Harm)
+		median.LatencyRatioRange[0] = min(median.LatencyRatioRange[0], row.LatencyRatio)
+		median.LatencyRatioRange[1] = max(median.LatencyRatioRange[1], row.LatencyRatio)
 	}
 	return median
 }
@@ -282,7 +286,7 @@
 	fmt.Fprintln(table, "policy\tTTFT p50/p95/p99 ms\talone p99\tharm (spread)\tTBT p95 ms (alone)\tbatch tok/s\tof idle\trefused\tfailed\tcache\twasted")
 	for _, row := range r.Rows {
 		fmt.Fprintf(table, "%s\t%.0f/%.0f/%.0f\t%.0f\t%.2f (%.2f-%.2f)\t%.0f (%.0f)\t%.0f\t%.2f\t%.3f\t%.3f\t%.2f\t%.2f\n",
-			row.Policy, row.FirstToken.P50, row.FirstToken.P95, row.FirstToken.P99, row.FirstTokenAlone.P99, row.Harm, row.HarmSpread[0], row.HarmSpread[1],
-			row.Between.P95, row.BetweenAlone.P95, row.BatchTokens, row.BatchShare, row.Refused, row.Failed, row.CacheHit, row.Wasted)
+			row.Policy, row.FirstToken.P50, row.FirstToken.P95, row.FirstToken.P99, row.FirstTokenAlone.P99, row.LatencyRatio, row.LatencyRatioRange[0], row.LatencyRatioRange[1],
+			row.BetweenTokens.P95, row.BetweenTokensAlone.P95, row.BatchTokens, row.BatchShare, row.Refused, row.Failed, row.CacheHit, row.Wasted)
 	}
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -15,7 +15,8 @@
 	"topazpulley/internal/harness"
 )
 
-// onlineResult collects what online callers saw. mutex guards all fields.
+// onlineResult collects the latencies, in microseconds, and outcomes of online
+// requests. mutex guards all fields.
 type onlineResult struct {
 	mutex      sync.Mutex
 	firstToken *hdrhistogram.Histogram
@@ -38,7 +39,8 @@
 	return &onlineResult{firstToken: histogram(), between: histogram(), total: histogram()}
 }
 
-// arrival is one intended online request.
+// arrival is one scheduled online request. at is its time since the start of the
+// run.
 type arrival struct {
 	at     time.Duration
 	prompt string
@@ -46,10 +48,9 @@
 	daemon int
 }
 
-// arrivals draws the open-loop schedule of a run; it depends on the seed only,
-// so that every policy and phase gets requests of the same size at the same
-// times. The phase is part of the prompts: behind the shared prefixes, phases
-// find nothing of each other in the engines' caches.
+// arrivals returns the open-loop schedule of a run. For one seed, every policy and
+// phase gets requests of the same sizes at the same times. The phase is part of the
+// prompts, so that phases share only the prompt prefixes in the engines' caches.
 func (d Deployment) arrivals(span time.Duration, daemons int, seed uint64, phase string) []arrival {
 	random := rand.New(rand.NewPCG(seed, 17))
 	schedule := []arrival{}
@@ -74,8 +75,8 @@
 	}
 }
 
-// runOnline sends the schedule and waits for all answers. Latency counts from
-// the intended time.
+// runOnline sends the scheduled requests and waits for all answers. Latency is
+// measured from the scheduled time.
 func runOnline(callers []*client.Client, schedule []arrival) *onlineResult {
 	result := newOnlineResult()
 	var group sync.WaitGroup
@@ -85,14 +86,14 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			result.ask(callers[each.daemon], each, started.Add(each.at))
+			result.send(callers[each.daemon], each, started.Add(each.at))
 		}()
 	}
 	group.Wait()
 	return result
 }
 
-func (r *onlineResult) ask(caller *client.Client, each arrival, intended time.Time) {
+func (r *onlineResult) send(caller *client.Client, each arrival, scheduled time.Time) {
 	var first, last time.Time
 	gaps := []time.Duration{}
 	request := client.Completion{Model: modelName, Prompt: each.prompt, MaxTokens: each.tokens}
@@ -117,14 +118,15 @@
 	}
 	r.completed++
 	r.tokens += len(gaps) + 1
-	_ = r.firstToken.RecordValue(first.Sub(intended).Microseconds())
-	_ = r.total.RecordValue(last.Sub(intended).Microseconds())
+	_ = r.firstToken.RecordValue(first.Sub(scheduled).Microseconds())
+	_ = r.total.RecordValue(last.Sub(scheduled).Microseconds())
 	for _, gap := range gaps {
 		_ = r.between.RecordValue(gap.Microseconds())
 	}
 }
 
-// batchItems returns one heap of items that share a few prefixes.
+// batchItems returns the JSONL file of a job whose prompts share prefixCount
+// prefixes.
 func batchItems(count int, label string) []byte {
 	lines := strings.Builder{}
 	for index := range count {
@@ -134,38 +136,40 @@
 	return []byte(lines.String())
 }
 
-// submitHeaps submits heaps of batch items until the span has passed.
-func (d Deployment) submitHeaps(caller *client.Client, span time.Duration, label string) error {
+// submitJobs submits batch jobs until the span has passed.
+func (d Deployment) submitJobs(caller *client.Client, span time.Duration, label string) error {
 	started := time.Now()
-	for heap := 0; time.Since(started) < span; heap++ {
-		name := fmt.Sprintf("%s-%d", label, heap)
-		file, err := caller.Upload(batchItems(d.HeapItems, name))
+	for index := 0; time.Since(started) < span; index++ {
+		name := fmt.Sprintf("%s-%d", label, index)
+		file, err := caller.Upload(batchItems(d.JobItems, name))
 		if err != nil {
 			return err
 		}
 		if _, err := caller.CreateBatch(file.ID, batch.EndpointCompletions, name); err != nil {
 			return err
 		}
-		time.Sleep(min(d.HeapEvery, max(span-time.Since(started), 0)))
+		time.Sleep(min(d.JobInterval, max(span-time.Since(started), 0)))
 	}
 	return nil
 }
 
-// usage is what the engines did in a span, from their ledgers.
+// usage holds token counts from the engines' ledgers, and the number of attempts.
+// prompt are prefilled tokens, cached tokens found in prefix caches, wasted
+// prefilled tokens of cancelled batch items.
 type usage struct {
-	online, batch     int
-	wasted            int
-	prompt, cachedAll int
-	attempts          int
+	online, batch  int
+	wasted         int
+	prompt, cached int
+	attempts       int
 }
 
-// measureEngines sums the tokens that engines generated between two points.
+// measureEngines returns the usage of all engines since their start.
 func measureEngines(running *harness.Harness) usage {
 	total := usage{}
 	for _, entry := range running.Fleet.Ledger() {
 		total.attempts++
 		total.prompt += entry.Prefilled
-		total.cachedAll += entry.Cached
+		total.cached += entry.Cached
 		if entry.Priority == "online" {
 			total.online += entry.Generated
 			continue
@@ -181,6 +185,6 @@
 func (u usage) minus(before usage) usage {
 	return usage{
 		online: u.online - before.online, batch: u.batch - before.batch, wasted: u.wasted - before.wasted,
-		prompt: u.prompt - before.prompt, cachedAll: u.cachedAll - before.cachedAll, attempts: u.attempts - before.attempts,
+		prompt: u.prompt - before.prompt, cached: u.cached - before.cached, attempts: u.attempts - before.attempts,
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -9,8 +9,8 @@
 
 const plotSize = 6 * vg.Inch
 
-// WritePlot draws each policy's harm against its batch throughput; the best
-// corner is the lower right.
+// WritePlot draws the latency ratio of each policy against its batch throughput to
+// a file whose extension selects the format. The lower right corner is the best.
 func (r Report) WritePlot(path string) error {
 	drawing := plot.New()
 	drawing.Title.Text = r.Deployment + ": harm to online against batch throughput"
@@ -18,7 +18,7 @@
 	drawing.Y.Label.Text = "online p99 first token with batch / without"
 	points := plotter.XYLabels{}
 	for _, row := range r.Rows {
-		points.XYs = append(points.XYs, plotter.XY{X: row.BatchShare, Y: row.Harm})
+		points.XYs = append(points.XYs, plotter.XY{X: row.BatchShare, Y: row.LatencyRatio})
 		points.Labels = append(points.Labels, row.Policy)
 	}
 	scatter, err := plotter.NewScatter(points)
