--- a/internal/harness/callers_test.go
+++ b/internal/harness/callers_test.go
@@ -23,7 +23,7 @@
 	"topazpulley/internal/revision"
 )
 
-// TestStockOpenAIClient uses the published client unchanged.
+// TestStockOpenAIClient checks that the unmodified OpenAI client works with a daemon.
 func TestStockOpenAIClient(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 2)
 	api := openai.NewClient(option.WithBaseURL("http://"+running.Daemons[0].HTTPAddress()+"/v1"), option.WithAPIKey(harness.ExampleKey), option.WithMaxRetries(0))
@@ -31,12 +31,12 @@
 		Model: harness.ExampleModel, MaxTokens: openai.Int(12),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("Which scale comes next?")},
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), wideBound)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	whole, err := api.Chat.Completions.New(ctx, parameters)
+	complete, err := api.Chat.Completions.New(ctx, parameters)
 	require.NoError(t, err)
-	require.NotEmpty(t, whole.Choices[0].Message.Content)
-	require.Equal(t, int64(12), whole.Usage.CompletionTokens)
+	require.NotEmpty(t, complete.Choices[0].Message.Content)
+	require.Equal(t, int64(12), complete.Usage.CompletionTokens)
 	stream := api.Chat.Completions.NewStreaming(ctx, parameters)
 	text := strings.Builder{}
 	for stream.Next() {
@@ -45,7 +45,7 @@
 		}
 	}
 	require.NoError(t, stream.Err())
-	require.Equal(t, whole.Choices[0].Message.Content, text.String())
+	require.Equal(t, complete.Choices[0].Message.Content, text.String())
 	models, err := api.Models.List(ctx)
 	require.NoError(t, err)
 	require.Equal(t, harness.ExampleModel, models.Data[0].ID)
@@ -56,11 +56,11 @@
 	require.Eventually(t, func() bool {
 		job, err = api.Batches.Get(ctx, job.ID)
 		return err == nil && job.Status == openai.BatchStatusCompleted
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	require.Equal(t, int64(20), job.RequestCounts.Completed)
 }
 
-func TestBadRequestsAreRefusedWithTheirReason(t *testing.T) {
+func TestBadRequestErrorCodes(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	caller := running.Caller(0, harness.ExampleKey)
 	post := func(path, body string, headers ...client.Header) *failure.Error {
@@ -95,16 +95,16 @@
 	require.Equal(t, "bad_key", failure.From(err).Code)
 	_, err = running.Caller(0, harness.ExampleKey).Status()
 	require.Equal(t, "bad_operator_token", failure.From(err).Code)
-	require.Empty(t, running.Fleet.Ledger(), "nothing that was refused has run")
+	require.Empty(t, running.Fleet.Ledger(), "a rejected request was run")
 }
 
-func TestBodyOverTheLimitIsRefused(t *testing.T) {
+func TestOversizedBodyRejected(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	address := running.Daemons[0].HTTPAddress()
 	connection, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
-	require.NoError(t, connection.SetDeadline(time.Now().Add(wideBound)))
+	require.NoError(t, connection.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(connection, "POST /v1/files HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999999\r\n\r\n")
 	require.NoError(t, err)
 	answer := make([]byte, 1024)
@@ -113,8 +113,8 @@
 	require.Contains(t, string(answer[:count]), "413")
 }
 
-// TestCallerThatLeavesEndsItsGeneration: the engine's stream is cancelled.
-func TestCallerThatLeavesEndsItsGeneration(t *testing.T) {
+// TestDisconnectCancelsStream checks that a closed connection cancels the engine's stream.
+func TestDisconnectCancelsStream(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	body := fmt.Sprintf(`{"model":"%s","prompt":"leaving","max_tokens":5000,"stream":true}`, harness.ExampleModel)
 	connection, err := net.Dial("tcp", running.Daemons[0].HTTPAddress())
@@ -127,12 +127,13 @@
 	require.Eventually(t, func() bool {
 		ledger := running.Fleet.Ledger()
 		return len(ledger) == 1 && ledger[0].Finish == engine.FinishCancelled
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-// TestCallerOfAWholeAnswerThatLeavesEndsItsGeneration: the engine worked on to the end
-// for nobody. One whose answer stays readable under its caller's key runs on.
-func TestCallerOfAWholeAnswerThatLeavesEndsItsGeneration(t *testing.T) {
+// TestDisconnectCancelsUnstreamedRequest checks that a closed connection
+// cancels a request without streaming, and that a request with an idempotency key continues
+// because its answer can be read later.
+func TestDisconnectCancelsUnstreamedRequest(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	leave := func(prompt string, tokens int, fields string) {
 		body := fmt.Sprintf(`{"model":"%s","prompt":"%s","max_tokens":%d}`, harness.ExampleModel, prompt, tokens)
@@ -141,7 +142,7 @@
 		require.NoError(t, err)
 		_, err = fmt.Fprintf(connection, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s", harness.ExampleKey, fields, len(body), body)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return len(running.Fleet.Ledger()) > before }, wideBound, pollEvery)
+		require.Eventually(t, func() bool { return len(running.Fleet.Ledger()) > before }, waitTimeout, pollInterval)
 		require.NoError(t, connection.Close())
 	}
 	finish := func(prompt string) string {
@@ -153,17 +154,17 @@
 		return ""
 	}
 	leave("leaving", 60000, "")
-	require.Eventually(t, func() bool { return finish("leaving") == engine.FinishCancelled }, wideBound/4, pollEvery)
+	require.Eventually(t, func() bool { return finish("leaving") == engine.FinishCancelled }, waitTimeout/4, pollInterval)
 	leave("coming back", 1500, gateway.HeaderIdempotencyKey+": key\r\n"+gateway.HeaderRepeatable+": false\r\n")
-	require.Eventually(t, func() bool { return finish("coming back") != "" }, wideBound, pollEvery)
+	require.Eventually(t, func() bool { return finish("coming back") != "" }, waitTimeout, pollInterval)
 	require.NotEqual(t, engine.FinishCancelled, finish("coming back"))
 	require.Eventually(t, func() bool {
 		_, err := running.Caller(0, harness.ExampleKey).Call("GET", "/v1/requests/key", nil)
 		return err == nil
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-func TestBadBundlesChangeNothing(t *testing.T) {
+func TestInvalidBundleChangeRejected(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	operator := running.Operator(0)
 	before, err := operator.Status()
@@ -194,9 +195,9 @@
 	require.Equal(t, before.Revision, after.Revision)
 }
 
-// TestRequestGoesToAnotherZoneWhenItsOwnHasNoEngine: the answer is the same,
-// and a zone without engines does not refuse.
-func TestRequestGoesToAnotherZoneWhenItsOwnHasNoEngine(t *testing.T) {
+// TestFallbackToOtherZone checks that a zone without a working
+// engine forwards requests to another zone.
+func TestFallbackToOtherZone(t *testing.T) {
 	running := start(t, []string{"a", "b"}, 1, 2)
 	lost, known := running.Fleet.Engine("assistant-00")
 	require.True(t, known)
@@ -204,12 +205,12 @@
 	caller := running.Caller(0, harness.ExampleKey)
 	require.Eventually(t, func() bool {
 		return ask(caller, "spill", 8) == nil
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-// TestKeyedAnswerStaysReadable: a repeated key gives the stored answer and
-// runs nothing again; other content under the key is a conflict.
-func TestKeyedAnswerStaysReadable(t *testing.T) {
+// TestIdempotencyKeyReturnsStoredAnswer checks that a repeated idempotency key returns the stored
+// answer without a second run, and that other content under the same key is a conflict.
+func TestIdempotencyKeyReturnsStoredAnswer(t *testing.T) {
 	running := start(t, []string{"a"}, 2, 1)
 	askKeyed := func(daemon int, prompt string) error {
 		return ask(running.Caller(daemon, harness.ExampleKey), prompt, 6, client.Header{Name: gateway.HeaderIdempotencyKey, Value: "key"})
@@ -223,9 +224,9 @@
 	require.Contains(t, string(content), strings.TrimSpace(emulator.OutputToken("keyed", 0)))
 }
 
-// TestCrossedAnswersAreDropped: engines that put another attempt's id on half
-// of their answers never make a caller see one that is not its own.
-func TestCrossedAnswersAreDropped(t *testing.T) {
+// TestForeignAnswersDropped checks that no caller receives an answer of another attempt
+// when engines put a wrong attempt id on half of their answers.
+func TestForeignAnswersDropped(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 3)
 	for _, name := range []string{"assistant-00", "assistant-01", "assistant-02"} {
 		crossed, known := running.Fleet.Engine(name)
@@ -238,12 +239,12 @@
 	}
 	content, err := running.Caller(0, "").Call("GET", "/metrics", nil)
 	require.NoError(t, err)
-	require.NotContains(t, string(content), "topazpulley_foreign_answers_total 0\n", "foreign answers were seen, and dropped")
+	require.NotContains(t, string(content), "topazpulley_foreign_answers_total 0\n", "no foreign answer was counted")
 }
 
-// TestKeyedAnswerOutlivesItsDaemonDuringAnOutage: an answer given while the
-// platform is down is readable afterwards although its daemon is lost.
-func TestKeyedAnswerOutlivesItsDaemonDuringAnOutage(t *testing.T) {
+// TestStoredAnswerSurvivesDaemonLossDuringOutage checks that an answer produced during a
+// platform outage is readable after the outage even if its daemon was killed.
+func TestStoredAnswerSurvivesDaemonLossDuringOutage(t *testing.T) {
 	running := start(t, []string{"a", "b"}, 1, 2)
 	running.Platform.SetFaults(emulator.PlatformFaults{Down: true})
 	key := client.Header{Name: gateway.HeaderIdempotencyKey, Value: "outage"}
@@ -253,20 +254,20 @@
 	require.Eventually(t, func() bool {
 		content, err := running.Caller(1, harness.ExampleKey).Call("GET", "/v1/requests/outage", nil)
 		return err == nil && strings.Contains(string(content), strings.TrimSpace(emulator.OutputToken("kept", 0)))
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-// TestSlowBodyIsCutOff: a caller that never finishes its request does not hold
-// its connection for ever.
-func TestSlowBodyIsCutOff(t *testing.T) {
+// TestIncompleteBodyTimesOut checks that the daemon closes a connection whose request body is
+// never completed.
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	connection, err := net.Dial("tcp", running.Daemons[0].HTTPAddress())
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
-	require.NoError(t, connection.SetDeadline(time.Now().Add(wideBound)))
+	require.NoError(t, connection.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(connection, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{")
 	require.NoError(t, err)
 	_, err = io.ReadAll(connection)
-	require.NoError(t, err, "the daemon ends the connection by itself")
+	require.NoError(t, err, "the daemon did not close the connection")
 	require.Empty(t, running.Fleet.Ledger())
 }
--- a/internal/harness/example.go
+++ b/internal/harness/example.go
@@ -10,7 +10,7 @@
 // ExampleKey is the API key of the example bundle's tenant.
 const ExampleKey = "example-key"
 
-// ExampleModel and ExamplePlainService are what the example bundle serves.
+// Services and model of the example bundle.
 const (
 	ExampleModel        = "assistant-small"
 	ExamplePlainService = "meter"
@@ -65,7 +65,7 @@
 	return lines.String()
 }
 
-// ExamplePrompt is the prompt of an example item.
+// ExamplePrompt returns the prompt of the example item with an index.
 func ExamplePrompt(index int) string {
 	return fmt.Sprintf("substation reading %d: report the pressure", index)
 }
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -1,7 +1,6 @@
-// Package harness runs the platform stand-in, emulated engines and daemons in
-// one process over loopback. It serves the dev command, the experiments and
-// in-process tests; separate processes use the same parts through the command
-// line.
+// Package harness runs an emulated platform, emulated engines and daemons in one
+// process on loopback addresses. The dev command, the experiments and in-process
+// tests use it. The command line starts the same components as separate processes.
 package harness
 
 import (
@@ -34,7 +33,7 @@
 type EngineGroup struct {
 	Service string
 	Plain   bool
-	// Count engines are spread over the zones in turn.
+	// Count is the number of engines; they are assigned to the zones round-robin.
 	Count int
 	Model emulator.EngineModel
 }
@@ -45,17 +44,17 @@
 	Region         string
 	DaemonsPerZone int
 	Engines        []EngineGroup
-	// BundleText is signed and rolled at start.
+	// BundleText is the bundle that Start signs and rolls out.
 	BundleText string
 	// Host is the loopback address of all listeners.
 	Host string
-	// Options vary the daemons for experiments.
+	// Options are the experimental options of all daemons.
 	Options daemon.Options
 	// ProbeInterval is the membership probe interval.
 	ProbeInterval time.Duration
-	// StopLinger is the daemons' linger at a planned stop.
+	// StopLinger is how long a daemon lingers at a planned stop.
 	StopLinger time.Duration
-	// FirstDaemonPort fixes the first daemon's HTTP port; 0 chooses one.
+	// FirstDaemonPort is the first daemon's HTTP port; 0 selects a free one.
 	FirstDaemonPort int
 	Log             *slog.Logger
 }
@@ -70,7 +69,7 @@
 	Fleet       *emulator.Fleet
 	Daemons     []*daemon.Daemon
 	Settings    []settings.Settings
-	// OperatorToken admits operator calls.
+	// OperatorToken authenticates operator calls.
 	OperatorToken string
 	// SigningKey is the harness operator's private key.
 	SigningKey ed25519.PrivateKey
@@ -82,14 +81,14 @@
 }
 
 const (
-	secretBytes  = 32
-	readyTimeout = 60 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	rollBaseAny  = -1
+	secretBytes   = 32
+	readyTimeout  = 60 * time.Second
+	readyInterval = 20 * time.Millisecond
+	anyBase       = -1
 )
 
-// Start runs the deployment and returns once every daemon is ready with the
-// bundle and every engine serves it.
+// Start starts the deployment and returns when every daemon is ready and every
+// engine serves the bundle.
 func Start(config Config) (*Harness, error) {
 	h := &Harness{Platform: emulator.NewPlatform(), Fleet: emulator.NewFleet(), config: config}
 	h.context, h.cancel = context.WithCancel(context.Background())
@@ -173,7 +172,7 @@
 	return nil
 }
 
-// StartDaemon starts, or starts again, the daemon with an index.
+// StartDaemon starts or restarts the daemon with an index.
 func (h *Harness) StartDaemon(index int) error {
 	process := h.Settings[index]
 	if err := h.chooseAddresses(&process, index); err != nil {
@@ -216,16 +215,16 @@
 	return err
 }
 
-// firstPort and portCount span the ports of daemons: below the range from
-// which the kernel takes the ports of outgoing connections, one of which could
-// otherwise hold the port of a daemon that is being restarted.
+// Daemons listen on ports from firstPort to firstPort+portCount-1. The range is below
+// the kernel's ephemeral ports, so that no outgoing connection can take the port of a
+// daemon while it restarts.
 const (
 	firstPort = 12000
 	portCount = 20000
 	portTries = 1000
 )
 
-// nextPort makes harnesses of several processes start at different ports.
+// nextPort is the offset of the last port tried by this process.
 var nextPort atomic.Uint32
 
 func freeAddress(host string) (string, error) {
@@ -246,47 +245,47 @@
 	return hex.EncodeToString(secret)
 }
 
-// KeyDigest returns the digest by which a bundle names an API key.
+// KeyDigest returns the hex SHA-256 digest that identifies an API key in a bundle.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Operator returns a client with the operator token for a daemon.
+// Operator returns a client of a daemon that uses the operator token.
 func (h *Harness) Operator(index int) *client.Client {
 	return client.New("http://"+h.Settings[index].HTTPAddress, h.OperatorToken)
 }
 
-// Caller returns a client with an API key for a daemon.
+// Caller returns a client of a daemon that uses an API key.
 func (h *Harness) Caller(index int, key string) *client.Client {
 	return client.New("http://"+h.Settings[index].HTTPAddress, key)
 }
 
-// RollBundle signs, proposes and rolls a bundle through the first daemon.
+// RollBundle signs a bundle, submits it to the first daemon and rolls it out.
 func (h *Harness) RollBundle(text string) error {
 	operator := h.Operator(0)
 	accept := gateway.ChangeRequest{
-		Kind: revision.KindAccept, Text: text, Operator: OperatorName, Base: rollBaseAny,
+		Kind: revision.KindAccept, Text: text, Operator: OperatorName, Base: anyBase,
 		Signatures: []bundle.Signature{bundle.Sign(text, OperatorName, h.SigningKey)},
 	}
 	if _, err := operator.Change(accept); err != nil {
 		return err
 	}
-	_, err := operator.Change(gateway.ChangeRequest{Kind: revision.KindRoll, Digest: bundle.Digest(text), Operator: OperatorName, Base: rollBaseAny})
+	_, err := operator.Change(gateway.ChangeRequest{Kind: revision.KindRoll, Digest: bundle.Digest(text), Operator: OperatorName, Base: anyBase})
 	return err
 }
 
-// WaitServing returns when every daemon has the same revision and sees every
-// engine of its zone serve it.
+// WaitServing waits until every daemon has the same revision and reports every engine
+// of its zone as serving it.
 func (h *Harness) WaitServing() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if h.allServing() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyInterval)
 	}
-	return failure.New(failure.KindUnavailable, "not_serving", "the deployment did not come up within %s", readyTimeout)
+	return failure.New(failure.KindUnavailable, "not_serving", "the deployment was not serving within %s", readyTimeout)
 }
 
 func (h *Harness) allServing() bool {
@@ -332,7 +331,7 @@
 	return true
 }
 
-// Stop ends everything at once.
+// Stop kills all daemons and stops the engines and the platform.
 func (h *Harness) Stop() {
 	for _, one := range h.Daemons {
 		_ = one.Kill()
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	wideBound  = 60 * time.Second
-	pollEvery  = 50 * time.Millisecond
-	fastEngine = 0.1
+	waitTimeout     = 60 * time.Second
+	pollInterval    = 50 * time.Millisecond
+	engineTimeScale = 0.1
 )
 
 func start(t *testing.T, zones []string, perZone, engines int) *harness.Harness {
-	output := slog.New(slog.NewTextHandler(newKeptLog(t), nil))
+	output := slog.New(slog.NewTextHandler(newLogTail(t), nil))
 	if os.Getenv("TOPAZPULLEY_TEST_LOG") != "" {
 		output = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	running, err := harness.Start(harness.Config{
-		Zones: zones, Region: "region", DaemonsPerZone: perZone, Engines: harness.ExampleEngines(engines, len(zones), fastEngine),
+		Zones: zones, Region: "region", DaemonsPerZone: perZone, Engines: harness.ExampleEngines(engines, len(zones), engineTimeScale),
 		BundleText: harness.ExampleBundle("1"), Host: "127.0.0.1", ProbeInterval: 200 * time.Millisecond, StopLinger: 500 * time.Millisecond,
 		Log: output,
 	})
@@ -46,11 +46,11 @@
 		var err error
 		job, err = caller.Batch(id)
 		return err == nil && job.Ended()
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	return job
 }
 
-// requireExactlyOnce checks that the output has each item's own answer once.
+// requireExactlyOnce checks that the output has exactly one correct answer for each item.
 func requireExactlyOnce(t *testing.T, output []byte, items, maxTokens int) {
 	results, err := checker.ParseResults(output)
 	require.NoError(t, err)
@@ -62,9 +62,9 @@
 	}
 }
 
-// ask streams one answer and checks that it is whole and the prompt's own.
+// ask streams one answer and checks that it is complete and belongs to the prompt.
 func ask(caller *client.Client, prompt string, tokens int, headers ...client.Header) error {
-	return checker.Stream(caller, client.Completion{Model: harness.ExampleModel, Prompt: prompt, MaxTokens: tokens}, wideBound, headers...)
+	return checker.Stream(caller, client.Completion{Model: harness.ExampleModel, Prompt: prompt, MaxTokens: tokens}, waitTimeout, headers...)
 }
 
 func submit(t *testing.T, caller *client.Client, items, maxTokens int, key string) client.Batch {
@@ -98,7 +98,7 @@
 	require.Eventually(t, func() bool {
 		present, err := caller.Batch(job.ID)
 		return err == nil && present.RequestCounts.Completed > 0
-	}, wideBound, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	require.NoError(t, running.Daemons[0].Kill())
 	ended := waitEnded(t, caller, job.ID)
 	require.Equal(t, 400, ended.RequestCounts.Completed)
@@ -107,10 +107,10 @@
 	requireExactlyOnce(t, output, 400, 40)
 }
 
-// stopTokens make an answer last well beyond the linger of a planned stop.
+// stopTokens is the length of an answer that takes longer than the linger of a planned stop.
 const stopTokens = 2500
 
-func TestPlannedStopCutsOffNoRequest(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	running := start(t, []string{"a"}, 2, 2)
 	caller := running.Caller(0, harness.ExampleKey)
 	var group sync.WaitGroup
@@ -137,12 +137,12 @@
 	require.Eventually(t, func() bool {
 		present, err := caller.Batch(job.ID)
 		return err == nil && present.RequestCounts.Completed > 0
-	}, wideBound, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	running.Platform.SetFaults(emulator.PlatformFaults{Down: true})
 	outageEnds := time.Now().Add(4 * time.Second)
 	for time.Now().Before(outageEnds) {
 		require.NoError(t, ask(caller, "during outage", 5))
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	running.Platform.SetFaults(emulator.PlatformFaults{LoseAnswerShare: 0.3})
 	ended := waitEnded(t, caller, job.ID)
@@ -159,7 +159,7 @@
 	require.Eventually(t, func() bool {
 		present, err := caller.Batch(job.ID)
 		return err == nil && present.RequestCounts.Completed > 0
-	}, wideBound, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	cancelled, err := caller.CancelBatch(job.ID)
 	require.NoError(t, err)
 	require.Equal(t, "cancelled", cancelled.Status)
@@ -169,7 +169,7 @@
 		time.Sleep(time.Second)
 		started = len(running.Fleet.Ledger())
 		return before == started
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	require.Less(t, started, 400)
 	present, err := caller.Batch(job.ID)
 	require.NoError(t, err)
@@ -178,7 +178,7 @@
 	require.Equal(t, present.RequestCounts.Completed, strings.Count(string(output), "\n"))
 }
 
-func TestEngineLeavingGetsNoNewWork(t *testing.T) {
+func TestLeavingEngineGetsNoRequests(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 3)
 	leaving := "assistant-00"
 	machine, found := findMachine(t, running, leaving)
@@ -196,7 +196,7 @@
 			}
 		}
 		return false
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	left, _ := running.Fleet.Engine(leaving)
 	before := len(left.Ledger())
 	caller := running.Caller(0, harness.ExampleKey)
--- a/internal/harness/origin_test.go
+++ b/internal/harness/origin_test.go
@@ -20,13 +20,13 @@
 	"topazpulley/internal/harness"
 )
 
-// logText keeps what the daemons log.
-type logText struct {
+// logRecorder records the log of all daemons.
+type logRecorder struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (l *logText) Write(line []byte) (int, error) {
+func (l *logRecorder) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
@@ -34,8 +34,8 @@
 
 var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
-// with returns the fields of the lines that hold a text.
-func (l *logText) with(text string) []map[string]string {
+// matching returns the fields of each line that contains a text.
+func (l *logRecorder) matching(text string) []map[string]string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	found := []map[string]string{}
@@ -52,11 +52,11 @@
 	return found
 }
 
-// startLogged is start with the lines of all daemons kept.
-func startLogged(t *testing.T, zones []string, engines int) (*harness.Harness, *logText) {
-	lines := &logText{}
+// startRecorded starts a deployment and records the log of its daemons.
+func startRecorded(t *testing.T, zones []string, engines int) (*harness.Harness, *logRecorder) {
+	lines := &logRecorder{}
 	running, err := harness.Start(harness.Config{
-		Zones: zones, Region: "region", DaemonsPerZone: 1, Engines: harness.ExampleEngines(engines, len(zones), fastEngine),
+		Zones: zones, Region: "region", DaemonsPerZone: 1, Engines: harness.ExampleEngines(engines, len(zones), engineTimeScale),
 		BundleText: harness.ExampleBundle("1"), Host: "127.0.0.1", ProbeInterval: 200 * time.Millisecond, StopLinger: 500 * time.Millisecond,
 		Log: slog.New(slog.NewTextHandler(lines, nil)),
 	})
@@ -65,7 +65,7 @@
 	return running, lines
 }
 
-// setFaults harms all engines.
+// setFaults sets the faults of all model engines.
 func setFaults(t *testing.T, running *harness.Harness, faults emulator.EngineFaults) {
 	t.Helper()
 	for _, name := range []string{"assistant-00", "assistant-01"} {
@@ -75,14 +75,14 @@
 	}
 }
 
-// requireSenders checks that each attempt which an engine began has one line that names
-// its sender, and returns how many lines there are of each event and kind.
-func requireSenders(t *testing.T, running *harness.Harness, lines *logText) map[string]int {
+// requireSendersLogged checks that the sender of each attempt in the engines' ledger is logged,
+// and returns the number of log lines by event and kind.
+func requireSendersLogged(t *testing.T, running *harness.Harness, lines *logRecorder) map[string]int {
 	t.Helper()
 	kinds := map[string]int{}
 	for _, started := range running.Fleet.Ledger() {
-		senders := slices.DeleteFunc(lines.with("attempt_id="+started.AttemptID+" "), func(line map[string]string) bool { return line["msg"] == "attempt_failed" })
-		require.NotEmpty(t, senders, "no daemon's log tells who sent %s to %s", started.AttemptID, started.Engine)
+		senders := slices.DeleteFunc(lines.matching("attempt_id="+started.AttemptID+" "), func(line map[string]string) bool { return line["msg"] == "attempt_failed" })
+		require.NotEmpty(t, senders, "no log line with the sender of %s to %s", started.AttemptID, started.Engine)
 		for _, line := range senders {
 			require.Equal(t, started.Engine, line["engine"])
 			require.NotEmpty(t, line["daemon"])
@@ -103,63 +103,62 @@
 	return kinds
 }
 
-// TestOriginOfEngineWorkIsInTheLog: an engine knows an attempt's id only, and no daemon
-// wrote who had sent it. From that id each kind of request leads to its caller's
-// connection, or to the job, item, owner's epoch and attempt.
-func TestOriginOfEngineWorkIsInTheLog(t *testing.T) {
-	running, lines := startLogged(t, []string{"a"}, 2)
+// TestAttemptOriginLogged checks that the log maps each attempt id to the caller's
+// connection, or to the job, item, owner epoch and attempt number.
+func TestAttemptOriginLogged(t *testing.T) {
+	running, lines := startRecorded(t, []string{"a"}, 2)
 	caller := running.Caller(0, harness.ExampleKey)
 	require.NoError(t, ask(caller, "first", 8))
 	_, err := caller.Call("POST", "/v1/services/"+harness.ExamplePlainService+"/x", []byte("body"))
 	require.NoError(t, err)
-	require.Equal(t, map[string]int{"request_sent first": 2}, requireSenders(t, running, lines))
+	require.Equal(t, map[string]int{"request_sent first": 2}, requireSendersLogged(t, running, lines))
 	setFaults(t, running, emulator.EngineFaults{RefuseShare: 0.5})
 	require.Eventually(t, func() bool {
 		_ = ask(caller, "retried", 8)
-		return requireSenders(t, running, lines)["request_sent retry"] > 0
-	}, wideBound, pollEvery)
-	for _, line := range lines.with("kind=retry") {
-		failed := lines.with("msg=attempt_failed daemon=a-0 id=" + line["id"] + " ")
-		require.NotEmpty(t, failed, "why %s was sent again is not told", line["id"])
+		return requireSendersLogged(t, running, lines)["request_sent retry"] > 0
+	}, waitTimeout, pollInterval)
+	for _, line := range lines.matching("kind=retry") {
+		failed := lines.matching("msg=attempt_failed daemon=a-0 id=" + line["id"] + " ")
+		require.NotEmpty(t, failed, "no log line with the reason for the retry of %s", line["id"])
 		require.Equal(t, "full", failed[0]["code"])
 		require.Equal(t, "not_run", failed[0]["outcome"])
 	}
 	setFaults(t, running, emulator.EngineFaults{TruncateShare: 1})
 	require.Eventually(t, func() bool {
 		_ = ask(caller, "resumed", 8)
-		return requireSenders(t, running, lines)["request_sent resumption"] > 0
-	}, wideBound, pollEvery)
+		return requireSendersLogged(t, running, lines)["request_sent resumption"] > 0
+	}, waitTimeout, pollInterval)
 	job := submit(t, caller, 20, 8, "job")
 	require.Eventually(t, func() bool {
-		return requireSenders(t, running, lines)["item_sent resumption"] > 0
-	}, wideBound, pollEvery)
+		return requireSendersLogged(t, running, lines)["item_sent resumption"] > 0
+	}, waitTimeout, pollInterval)
 	setFaults(t, running, emulator.EngineFaults{})
 	waitEnded(t, caller, job.ID)
-	require.Positive(t, requireSenders(t, running, lines)["item_sent first"])
+	require.Positive(t, requireSendersLogged(t, running, lines)["item_sent first"])
 }
 
-// TestOriginIsKnownThroughAnotherZone: the daemon of the other zone gives a forwarded
-// request an id of its own, which led to no caller.
-func TestOriginIsKnownThroughAnotherZone(t *testing.T) {
-	running, lines := startLogged(t, []string{"a", "b"}, 2)
+// TestForwardedRequestOriginLogged checks that the log maps the id that the other zone
+// assigns to a forwarded request to the original request and its caller.
+func TestForwardedRequestOriginLogged(t *testing.T) {
+	running, lines := startRecorded(t, []string{"a", "b"}, 2)
 	lost, known := running.Fleet.Engine("assistant-00")
 	require.True(t, known)
 	lost.SetFaults(emulator.EngineFaults{Crashed: true})
 	caller := running.Caller(0, harness.ExampleKey)
-	forwarded := func() []map[string]string { return lines.with("msg=request_forwarded") }
+	forwarded := func() []map[string]string { return lines.matching("msg=request_forwarded") }
 	require.Eventually(t, func() bool {
 		return ask(caller, "spill", 8, client.Header{Name: gateway.HeaderDeadline, Value: "5000"}) == nil && len(forwarded()) > 0
-	}, wideBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	line := forwarded()[0]
 	require.Contains(t, line["caller"], "127.0.0.1:")
 	require.Equal(t, "b", line["zone"])
-	sent := lines.with("msg=request_sent daemon=b-0 id=" + line["answered_as"] + " ")
+	sent := lines.matching("msg=request_sent daemon=b-0 id=" + line["answered_as"] + " ")
 	require.Len(t, sent, 1, "%v", line)
 	require.Equal(t, "a", sent[0]["from_zone"])
 }
 
-// TestRefusedInputIsCountedHereToo: as on the other interface.
-func TestRefusedInputIsCountedHereToo(t *testing.T) {
+// TestMalformedRequestsCounted checks the malformed request metric of the HTTP interface.
+func TestMalformedRequestsCounted(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	caller := running.Caller(0, harness.ExampleKey)
 	_, err := caller.Call("POST", "/v1/completions", []byte(`{"model":`))
--- a/internal/harness/words_test.go
+++ b/internal/harness/targets_test.go
@@ -16,10 +16,9 @@
 	"topazpulley/internal/harness"
 )
 
-// TestFileIDsNameFilesOnly: the id of a file was part of an object's name as the
-// caller gave it, and the client of the store resolved dots and marks in it. An id
-// such as "../other/file-..." named another tenant's file, or any object.
-func TestFileIDsNameFilesOnly(t *testing.T) {
+// TestInvalidFileIDRejected checks that a file id with path or URL syntax is rejected, so
+// that it cannot name another tenant's file or another object of the store.
+func TestInvalidFileIDRejected(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	caller := running.Caller(0, harness.ExampleKey)
 	content, err := caller.Call("POST", "/v1/files", []byte(harness.ExampleItems(2, 2)))
@@ -28,9 +27,9 @@
 		ID string `json:"id"`
 	}
 	require.NoError(t, json.Unmarshal(content, &file))
-	whole, err := caller.Call("GET", "/v1/files/"+file.ID+"/content", nil)
+	complete, err := caller.Call("GET", "/v1/files/"+file.ID+"/content", nil)
 	require.NoError(t, err)
-	require.Equal(t, harness.ExampleItems(2, 2), string(whole))
+	require.Equal(t, harness.ExampleItems(2, 2), string(complete))
 	for _, id := range []string{"../example/" + file.ID, "x/../" + file.ID, file.ID + "?a", file.ID + "#a", "./" + file.ID, file.ID + "\r\n", ""} {
 		asked, err := json.Marshal(map[string]string{"input_file_id": id, "endpoint": "/v1/completions"})
 		require.NoError(t, err)
@@ -42,7 +41,7 @@
 	require.Contains(t, answer, "no_file")
 }
 
-// callRaw sends a target as it is; the client of the product writes paths anew.
+// callRaw sends a request target unchanged; package client normalizes paths.
 func callRaw(t *testing.T, address, method, target string) (int, string) {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -58,9 +57,9 @@
 	return response.StatusCode, string(content)
 }
 
-// TestPlainServiceGetsTheTargetAsItCame: the engine was sent the path decoded, so
-// that "%2F" became a slash and line breaks became spaces, and no query.
-func TestPlainServiceGetsTheTargetAsItCame(t *testing.T) {
+// TestPlainServiceTargetUnchanged checks that the engine receives the path without
+// decoding, and the query.
+func TestPlainServiceTargetUnchanged(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	address := running.Daemons[0].HTTPAddress()
 	for target, want := range map[string]string{
@@ -77,9 +76,9 @@
 	require.Contains(t, content, "bad_target")
 }
 
-// TestTargetInAbsoluteFormIsRefused, as on the other interface: it was served here, and
-// made a wrong address of a request that another zone was to serve.
-func TestTargetInAbsoluteFormIsRefused(t *testing.T) {
+// TestAbsoluteFormTargetRejected checks that absolute-form targets and other invalid
+// targets are rejected.
+func TestAbsoluteFormTargetRejected(t *testing.T) {
 	running := start(t, []string{"a"}, 1, 1)
 	address := running.Daemons[0].HTTPAddress()
 	for target, code := range map[string]string{"http://" + address + "/v1/models": "target", "/v1/models#a": "target", "*": "bad_http"} {
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -93,17 +93,17 @@
 mutant no_direct_accusation internal/membership/probe.go \
 	'c.accused[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
 mutant no_attempt_echo internal/engine/client.go \
-	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestCrossedAnswersAreDropped
+	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestForeignAnswersDropped
 mutant no_end_marker internal/engine/client.go \
 	'if event.Count != s.next {' 'if false {' internal/engine TestAnswerWithoutItsCountIsNotWhole
 mutant no_result_copy internal/gateway/results.go \
-	'	g.keepElsewhere(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
+	'	g.keepElsewhere(ctx, result)' '' internal/harness TestStoredAnswerSurvivesDaemonLossDuringOutage
 mutant no_job_identity internal/batch/store.go \
 	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestResentJobIsTheSameJob
 mutant all_failures_not_run internal/engine/client.go \
 	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionLeavesTheOutcomeUnknown
 mutant no_wait_at_stop internal/daemon/daemon.go \
-	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCutsOffNoRequest
+	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCompletesRequests
 mutant no_pause_notice internal/membership/core.go \
 	'	c.notePause(now)' '' internal/membership TestPausedMemberWaitsForItsOwnAnswers
 mutant no_gossip_bound internal/membership/gossip.go \
@@ -337,7 +337,7 @@
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
 	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadRequestHasOneAnswer
 mutant file_ids_are_paths internal/gateway/files.go \
-	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
+	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestInvalidFileIDRejected
 mutant wanted_end_not_told internal/job/handover.go \
 	'if !isOpen ||' 'if isOpen ||' internal/job TestOwnerPursuesTheEndThatADaemonTookAndDied
 mutant successor_not_told internal/job/handover.go \
@@ -372,7 +372,7 @@
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
 	'SetWriteDeadline(' 'SetReadDeadline(' internal/gateway TestLongStreamIsNotCutByTheWriteTimeout
 mutant gone_caller_not_noticed internal/gateway/presence.go \
-	'if isClosedByCaller(connection) {' 'if false {' internal/harness TestCallerOfAWholeAnswerThatLeavesEndsItsGeneration
+	'if isClosedByCaller(connection) {' 'if false {' internal/harness TestDisconnectCancelsUnstreamedRequest
 for part in test/mutants.d/*.sh; do
 	[ ! -f "$part" ] || . "./$part"
 done
