--- a/test/scenario/commands_test.go
+++ b/test/scenario/commands_test.go
@@ -19,7 +19,7 @@
 
 type script = testscript.TestScript
 
-// commands are what a story can say; docs/INVARIANTS.md lists the stories.
+// commands returns the commands of the scripts; docs/INVARIANTS.md lists the scripts.
 func commands() map[string]func(ts *script, neg bool, args []string) {
 	table := map[string]func(f *fleet, args []string) error{
 		// fleet ZONES DAEMONS-PER-ZONE ENGINES PLAIN TIME-SCALE
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			if err := f.start(strings.Split(args[0], ","), number(args[1]), number(args[2]), number(args[3]), scale); err != nil {
+			if err := f.start(strings.Split(args[0], ","), parseNumber(args[1]), parseNumber(args[2]), parseNumber(args[3]), scale); err != nil {
 				return err
 			}
 			revision, err := f.roll(f.daemons[0].name, "1")
@@ -49,7 +49,7 @@
 			return waitHTTP("http://" + f.spec(args[0]).http + "/readyz")
 		},
 		"ready": func(f *fleet, args []string) error { return waitHTTP("http://" + f.spec(args[0]).http + "/readyz") },
-		// notready NAME: the daemon answers and is not ready
+		// notready NAME: the daemon answers but is not ready
 		"notready": func(f *fleet, args []string) error {
 			time.Sleep(3 * time.Second)
 			status, err := f.operatorAt(args[0]).Status()
@@ -75,7 +75,7 @@
 			return nil
 		},
 		"leave": leaveMachine,
-		// cut FROM:TO,...; no argument heals
+		// cut FROM:TO,...: without arguments, removes all cuts
 		"cut": func(f *fleet, args []string) error {
 			cuts := []emulator.Cut{}
 			if len(args) > 0 {
@@ -97,12 +97,12 @@
 			if names[0] == "all" {
 				names = f.names()
 			}
-			return f.awaitServing(int64(number(args[0])), names)
+			return f.awaitServing(int64(parseNumber(args[0])), names)
 		},
-		// revision DAEMON NUMBER: the daemon serves exactly this one now
+		// revision DAEMON NUMBER: the daemon serves exactly this revision
 		"revision": func(f *fleet, args []string) error {
 			status, err := f.operatorAt(args[0]).Status()
-			if err == nil && status.Revision != int64(number(args[1])) {
+			if err == nil && status.Revision != int64(parseNumber(args[1])) {
 				return fmt.Errorf("%s serves revision %d", args[0], status.Revision)
 			}
 			return err
@@ -117,13 +117,13 @@
 		"readable": checkReadable,
 		"ask":      ask,
 		"askonce":  askOnce,
-		"diesonce": diesOnce,
+		"diesonce": crashOnce,
 		"plain":    askPlain,
 		"load":     loadCommand,
 		"members": func(f *fleet, args []string) error {
 			return poll(args[0]+" to see "+args[1]+" members", func() bool {
 				status, err := f.operatorAt(args[0]).Status()
-				return err == nil && len(status.Members) == number(args[1])
+				return err == nil && len(status.Members) == parseNumber(args[1])
 			})
 		},
 		"nowork": checkNoWork,
@@ -151,7 +151,7 @@
 	return registered
 }
 
-func number(text string) int {
+func parseNumber(text string) int {
 	parsed, err := strconv.Atoi(text)
 	if err != nil {
 		panic(err)
@@ -191,7 +191,7 @@
 	return fmt.Errorf("no machine %s", args[0])
 }
 
-// nowork ENGINE: the engine starts nothing while others do.
+// checkNoWork: nowork ENGINE: the engine starts no request while online requests are served.
 func checkNoWork(f *fleet, args []string) error {
 	count := func() (int, error) {
 		entries, err := f.ledger()
@@ -214,13 +214,13 @@
 	}
 	after, err := count()
 	if err == nil && after != before {
-		err = fmt.Errorf("%s started %d more", args[0], after-before)
+		err = fmt.Errorf("%s started %d more requests", args[0], after-before)
 	}
 	return err
 }
 
-// raceOperators: race DAEMON DAEMON: two operators roll on the same base; one
-// wins, the other gets a conflict that names the winner.
+// raceOperators: race DAEMON DAEMON: two operators roll with the same base; one
+// succeeds, the other gets a conflict that names the first.
 func raceOperators(f *fleet, args []string) error {
 	history, err := f.operatorAt(args[0]).History()
 	if err != nil {
--- a/test/scenario/fleet_test.go
+++ b/test/scenario/fleet_test.go
@@ -26,25 +26,27 @@
 )
 
 const (
-	wideBound  = 60 * time.Second
-	pollEvery  = 50 * time.Millisecond
-	clusterKey = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
-	token      = "scenario-operator-token"
-	operator   = "amina"
+	waitTimeout  = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
+	clusterKey   = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
+	token        = "scenario-operator-token"
+	operator     = "amina"
 )
 
-// networks gives every fleet its own part of 127.0.0.0/8.
-var networks atomic.Int32
+// lastNetwork is the number of the latest fleet's network. Each fleet has its own network in
+// 127.0.0.0/8.
+var lastNetwork atomic.Int32
 
 type fleetKey struct{}
 
-// process is one running process of a fleet.
+// process is a process of a fleet with the arguments to restart it.
 type process struct {
 	command   *exec.Cmd
 	arguments []string
 }
 
-// daemonSpec describes one daemon.
+// daemonSpec is the name, zone, addresses and settings file of a daemon. Other daemons
+// reach its peer address through the relay at the relayed address.
 type daemonSpec struct {
 	name    string
 	zone    string
@@ -54,7 +56,7 @@
 	config  string
 }
 
-// fleet is everything that one story runs.
+// fleet is the processes, jobs and load of one script.
 type fleet struct {
 	dir       string
 	path      string
@@ -69,7 +71,7 @@
 
 func newFleet(env *testscript.Env) *fleet {
 	f := &fleet{
-		dir: env.WorkDir, path: env.Getenv("PATH"), network: int(networks.Add(1)),
+		dir: env.WorkDir, path: env.Getenv("PATH"), network: int(lastNetwork.Add(1)),
 		processes: map[string]*process{}, jobs: map[string]submittedJob{},
 	}
 	env.Defer(f.killAll)
@@ -86,7 +88,7 @@
 }
 func (f *fleet) relayControl() string { return "http://" + f.address(3, 7000) }
 
-// run starts a process of the fleet.
+// run starts a program as a process of the fleet, with its output in NAME.log.
 func (f *fleet) run(name, program string, arguments ...string) error {
 	found, err := lookPath(f.path, program)
 	if err != nil {
@@ -116,14 +118,14 @@
 }
 
 func (f *fleet) signal(name string, signal syscall.Signal) error {
-	held, known := f.processes[name]
+	started, known := f.processes[name]
 	if !known {
 		return fmt.Errorf("no process %s", name)
 	}
-	return held.command.Process.Signal(signal)
+	return started.command.Process.Signal(signal)
 }
 
-// end waits until a process has exited, after the signal that should end it.
+// end sends a signal to a process and waits until it has exited.
 func (f *fleet) end(name string, signal syscall.Signal) error {
 	if err := f.signal(name, signal); err != nil {
 		return err
@@ -133,22 +135,22 @@
 }
 
 func (f *fleet) restart(name string) error {
-	held := f.processes[name]
-	return f.run(name, held.arguments[0], held.arguments[1:]...)
+	started := f.processes[name]
+	return f.run(name, started.arguments[0], started.arguments[1:]...)
 }
 
 func (f *fleet) killAll() {
 	if f.load != nil {
 		f.load.stop()
 	}
-	for _, held := range f.processes {
-		_ = held.command.Process.Signal(syscall.SIGCONT)
-		_ = held.command.Process.Kill()
-		_ = held.command.Wait()
+	for _, started := range f.processes {
+		_ = started.command.Process.Signal(syscall.SIGCONT)
+		_ = started.command.Process.Kill()
+		_ = started.command.Wait()
 	}
 }
 
-// start brings up the platform, the relay, the engines and the daemons.
+// start starts the platform, the relay, the engines and the daemons.
 func (f *fleet) start(zones []string, perZone, engines, plain int, timeScale float64) error {
 	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -242,16 +244,16 @@
 	return nil
 }
 
-// poll waits for a condition.
+// poll waits until a condition holds, or fails after waitTimeout.
 func poll(what string, condition func() bool) error {
-	deadline := time.Now().Add(wideBound)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		if condition() {
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("waited %s in vain for %s", wideBound, what)
+	return fmt.Errorf("timed out after %s waiting for %s", waitTimeout, what)
 }
 
 func waitHTTP(url string) error {
@@ -299,14 +301,14 @@
 	return client.New("http://"+f.spec(name).http, harness.ExampleKey)
 }
 
-// change asks for a revision through a daemon.
+// change submits a change through a daemon and returns the number of the new revision.
 func (f *fleet) change(daemon string, request gateway.ChangeRequest) (int64, error) {
 	request.Operator, request.Base = operator, -1
 	made, err := f.operatorAt(daemon).Change(request)
 	return made.Number, err
 }
 
-// roll signs, proposes and rolls a bundle with a model version.
+// roll signs, submits and rolls a bundle with a model version, and returns the revision.
 func (f *fleet) roll(daemon, version string) (int64, error) {
 	text := harness.ExampleBundle(version)
 	accept := gateway.ChangeRequest{Kind: "accept", Text: text, Signatures: []bundle.Signature{bundle.Sign(text, operator, f.key)}}
@@ -316,8 +318,8 @@
 	return f.change(daemon, gateway.ChangeRequest{Kind: "roll", Digest: bundle.Digest(text)})
 }
 
-// awaitServing waits until the daemons hold the revision and see every engine
-// of their zone serve it.
+// awaitServing waits until the daemons have the revision and report every engine
+// of their zone as serving it.
 func (f *fleet) awaitServing(revision int64, daemons []string) error {
 	for _, name := range daemons {
 		err := poll(fmt.Sprintf("%s to serve revision %d", name, revision), func() bool {
--- a/test/scenario/job_commands_test.go
+++ b/test/scenario/job_commands_test.go
@@ -14,7 +14,7 @@
 	"topazpulley/internal/harness"
 )
 
-// submittedJob remembers what a story asked for.
+// submittedJob is a job that a script submitted.
 type submittedJob struct {
 	id     string
 	items  int
@@ -22,13 +22,13 @@
 	once   bool
 }
 
-// itemPrompt is unique per fleet, job and item, so that the engines' ledger
-// tells how often an item ran.
+// itemPrompt returns a prompt unique in the fleet, so that the number of runs of an item
+// can be read from the engines' ledger.
 func itemPrompt(job string, index int) string { return fmt.Sprintf("%s item %d", job, index) }
 
-// submit JOB DAEMON ITEMS TOKENS [once] [other]
+// submitJob: submit JOB DAEMON ITEMS TOKENS [once] [other]
 func submitJob(f *fleet, args []string) error {
-	job := submittedJob{items: number(args[2]), tokens: number(args[3])}
+	job := submittedJob{items: parseNumber(args[2]), tokens: parseNumber(args[3])}
 	options := strings.Join(args[4:], " ")
 	job.once = strings.Contains(options, "once")
 	lines := strings.Builder{}
@@ -46,37 +46,36 @@
 	}
 	job.id = made.ID
 	if known, exists := f.jobs[args[0]]; exists && known.id != job.id {
-		return fmt.Errorf("a resend made job %s beside %s", job.id, known.id)
+		return fmt.Errorf("resubmission created job %s instead of returning %s", job.id, known.id)
 	}
 	f.jobs[args[0]] = job
 	return nil
 }
 
-// createJob submits like a client that is told to come back: it sends again,
-// with the same key, for as long as the platform is said to be unavailable and
-// its patience lasts.
+// createJob submits a job. While the service is unavailable it retries with the same key,
+// up to submitAttempts times.
 func (f *fleet) createJob(caller *client.Client, key, options, lines string) (client.Batch, error) {
 	made, err := client.Batch{}, error(nil)
-	for range submitTries {
+	for range submitAttempts {
 		var file string
-		if file, err = f.uploaded(caller, key+options, lines); err == nil {
+		if file, err = f.uploadOnce(caller, key+options, lines); err == nil {
 			made, err = caller.CreateBatch(file, batch.EndpointCompletions, key)
 		}
 		if !failure.Is(err, failure.KindUnavailable) {
 			return made, err
 		}
-		time.Sleep(submitPause)
+		time.Sleep(submitInterval)
 	}
 	return made, err
 }
 
 const (
-	submitTries = 8
-	submitPause = 500 * time.Millisecond
+	submitAttempts = 8
+	submitInterval = 500 * time.Millisecond
 )
 
-// uploaded stores a file once per content, as a client that resends does.
-func (f *fleet) uploaded(caller *client.Client, name, content string) (string, error) {
+// uploadOnce uploads a file, or returns its id if the name was uploaded before.
+func (f *fleet) uploadOnce(caller *client.Client, name, content string) (string, error) {
 	path := f.dir + "/file-" + strings.ReplaceAll(name, " ", "-")
 	if id, err := os.ReadFile(path); err == nil {
 		return string(id), nil
@@ -88,15 +87,15 @@
 	return file.ID, os.WriteFile(path, []byte(file.ID), 0o644)
 }
 
-// progress JOB DAEMON COUNT
+// awaitProgress: progress JOB DAEMON COUNT: waits until COUNT items are completed.
 func awaitProgress(f *fleet, args []string) error {
 	return poll("progress of "+args[0], func() bool {
 		job, err := f.callerAt(args[1]).Batch(f.jobs[args[0]].id)
-		return err == nil && job.RequestCounts.Completed >= number(args[2])
+		return err == nil && job.RequestCounts.Completed >= parseNumber(args[2])
 	})
 }
 
-// await JOB DAEMON
+// awaitJob: await JOB DAEMON: waits until the job has ended.
 func awaitJob(f *fleet, args []string) error {
 	return poll("the end of "+args[0], func() bool {
 		job, err := f.callerAt(args[1]).Batch(f.jobs[args[0]].id)
@@ -104,12 +103,12 @@
 	})
 }
 
-// results reads the visible results of a job by item.
+// results returns the results of a job that are readable now, by item.
 func (f *fleet) results(daemon, job string) (checker.Results, error) {
 	return checker.ReadResults(f.callerAt(daemon), f.jobs[job].id)
 }
 
-// once JOB DAEMON: every item has exactly one result, its own; an item that
+// checkOnce: once JOB DAEMON: every item has exactly one result, its own. An item that
 // may not be repeated was started at most once, and its result may be
 // "outcome_unknown".
 func checkOnce(f *fleet, args []string) error {
@@ -141,7 +140,7 @@
 	return f.checkStartedOnce(args[0], job, unknown)
 }
 
-// checkStartedOnce asks the engines how often each item was started.
+// checkStartedOnce checks in the engines' ledger that each item was started at most once.
 func (f *fleet) checkStartedOnce(name string, job submittedJob, unknown int) error {
 	entries, err := f.ledger()
 	if err != nil {
@@ -154,7 +153,7 @@
 		}
 	}
 	if unknown == job.items {
-		return fmt.Errorf("every item ended as unknown")
+		return fmt.Errorf("every item has an unknown outcome")
 	}
 	return nil
 }
@@ -167,11 +166,11 @@
 	return err
 }
 
-// quiet JOB: the engines stop starting items of the job before all were
+// checkQuiet: quiet JOB: the engines stop starting items of the job before all were
 // started.
 func checkQuiet(f *fleet, args []string) error {
 	started := 0
-	err := poll("the job to be quiet", func() bool {
+	err := poll("the engines to stop starting items", func() bool {
 		before, err := f.countStarted(args[0])
 		time.Sleep(3 * time.Second)
 		after, afterErr := f.countStarted(args[0])
@@ -195,7 +194,8 @@
 	return count, err
 }
 
-// readable JOB DAEMON: each visible result is whole and the item's own.
+// checkReadable: readable JOB DAEMON: there are results, and each is complete and
+// belongs to its item.
 func checkReadable(f *fleet, args []string) error {
 	results, err := f.results(args[1], args[0])
 	if err != nil {
@@ -209,7 +209,7 @@
 		if err != nil {
 			return err
 		}
-		if err := checker.CheckAnswer(line, itemPrompt(args[0], number(item)), f.jobs[args[0]].tokens); err != nil {
+		if err := checker.CheckAnswer(line, itemPrompt(args[0], parseNumber(item)), f.jobs[args[0]].tokens); err != nil {
 			return err
 		}
 	}
--- a/test/scenario/load_commands_test.go
+++ b/test/scenario/load_commands_test.go
@@ -9,7 +9,7 @@
 	"topazpulley/internal/failure"
 )
 
-// onlineLoad asks in the background until it is stopped.
+// onlineLoad sends online requests in the background until it is stopped.
 type onlineLoad struct {
 	stopped chan struct{}
 	group   sync.WaitGroup
@@ -29,10 +29,10 @@
 	l.group.Wait()
 }
 
-// loadCommand: load start DAEMON,... TOKENS | load stop: none was cut off.
+// loadCommand: load start DAEMON,... TOKENS | load stop: no request has failed.
 func loadCommand(f *fleet, args []string) error {
 	if args[0] == "start" {
-		f.load = startLoad(f, strings.Split(args[1], ","), number(args[2]))
+		f.load = startLoad(f, strings.Split(args[1], ","), parseNumber(args[2]))
 		return nil
 	}
 	f.load.stop()
@@ -64,16 +64,16 @@
 	return load
 }
 
-// ask sends one request to one of the daemons. A caller goes to another daemon
-// when it could not connect, or was told that the request did not run.
+// ask sends one request to one of the daemons. It retries with the next daemon if the
+// connection was refused or the request was rejected as not run.
 func (l *onlineLoad) ask(f *fleet, daemons []string, prompt string, turn, tokens int) {
 	var err error
 	for try := range 2 * len(daemons) {
-		err = streamWhole(f.callerAt(daemons[(turn+try)%len(daemons)]), prompt, tokens)
-		if err == nil || !mayGoElsewhere(err) {
+		err = streamComplete(f.callerAt(daemons[(turn+try)%len(daemons)]), prompt, tokens)
+		if err == nil || !canRetry(err) {
 			break
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -83,6 +83,6 @@
 	}
 }
 
-func mayGoElsewhere(err error) bool {
+func canRetry(err error) bool {
 	return failure.From(err).NotRun || strings.Contains(err.Error(), "connection refused")
 }
--- a/test/scenario/request_commands_test.go
+++ b/test/scenario/request_commands_test.go
@@ -15,22 +15,22 @@
 	"topazpulley/internal/harness"
 )
 
-// streamWhole asks for one answer and checks that it is whole and one's own.
-func streamWhole(caller *client.Client, prompt string, tokens int, headers ...client.Header) error {
+// streamComplete streams one answer and checks that it is complete and belongs to the prompt.
+func streamComplete(caller *client.Client, prompt string, tokens int, headers ...client.Header) error {
 	request := client.Completion{Model: harness.ExampleModel, Prompt: prompt, MaxTokens: tokens}
-	return checker.Stream(caller, request, wideBound, headers...)
+	return checker.Stream(caller, request, waitTimeout, headers...)
 }
 
-// ask DAEMON COUNT TOKENS: answers come whole and to whom they belong.
+// ask DAEMON COUNT TOKENS: each answer is complete and belongs to its request.
 func ask(f *fleet, args []string) error {
 	var group sync.WaitGroup
-	failures := make(chan error, number(args[1]))
-	for index := range number(args[1]) {
+	failures := make(chan error, parseNumber(args[1]))
+	for index := range parseNumber(args[1]) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			prompt := fmt.Sprintf("ask %d %d", time.Now().UnixNano(), index)
-			if err := streamWhole(f.callerAt(args[0]), prompt, number(args[2])); err != nil {
+			if err := streamComplete(f.callerAt(args[0]), prompt, parseNumber(args[2])); err != nil {
 				failures <- err
 			}
 		}()
@@ -40,13 +40,13 @@
 	return <-failures
 }
 
-// askonce DAEMON KEY TOKENS WANTED [notrun]: a request that may not be
-// repeated ends as WANTED ("ok" or an error code) and was started at most once;
-// a refusal as not run was not started.
+// askOnce: askonce DAEMON KEY TOKENS WANTED [notrun]: a request that may not be
+// repeated ends as WANTED ("ok" or an error code) and was started at most once. If it
+// was rejected as not run, it was not started.
 func askOnce(f *fleet, args []string) error {
 	prompt := "askonce " + args[1]
 	headers := []client.Header{{Name: gateway.HeaderRepeatable, Value: "false"}, {Name: gateway.HeaderIdempotencyKey, Value: args[1]}}
-	err := streamWhole(f.callerAt(args[0]), prompt, number(args[2]), headers...)
+	err := streamComplete(f.callerAt(args[0]), prompt, parseNumber(args[2]), headers...)
 	entries, ledgerErr := f.ledger()
 	if ledgerErr != nil {
 		return ledgerErr
@@ -56,18 +56,18 @@
 		return fmt.Errorf("the request was started %d times", started)
 	}
 	if err == nil {
-		return wantOutcome("ok", args[3])
+		return checkOutcome("ok", args[3])
 	}
 	typed := failure.From(err)
 	if typed.NotRun && started > 0 {
-		return fmt.Errorf("the request was refused as not run and was started")
+		return fmt.Errorf("the request was rejected as not run but was started")
 	}
-	return wantOutcome(typed.Code, args[3])
+	return checkOutcome(typed.Code, args[3])
 }
 
-// diesOnce: diesonce DAEMON KEY TOKENS ENGINE: the engine dies while it runs a
-// request that may not be repeated, which ends as unknown.
-func diesOnce(f *fleet, args []string) error {
+// crashOnce: diesonce DAEMON KEY TOKENS ENGINE: the engine crashes while it runs a
+// request that may not be repeated; the outcome of the request is unknown.
+func crashOnce(f *fleet, args []string) error {
 	ended := make(chan error, 1)
 	go func() { ended <- askOnce(f, append(slices.Clone(args[:3]), "outcome_unknown")) }()
 	err := poll("the request to run", func() bool {
@@ -83,16 +83,16 @@
 	return <-ended
 }
 
-func wantOutcome(got, wanted string) error {
+func checkOutcome(got, wanted string) error {
 	if got != wanted {
 		return fmt.Errorf("outcome %s, wanted %s", got, wanted)
 	}
 	return nil
 }
 
-// plain DAEMON COUNT
+// askPlain: plain DAEMON COUNT: each answer of the plain service belongs to its request.
 func askPlain(f *fleet, args []string) error {
-	for index := range number(args[1]) {
+	for index := range parseNumber(args[1]) {
 		body := fmt.Sprintf("meter %d", index)
 		content, err := f.callerAt(args[0]).Call("POST", "/v1/services/"+harness.ExamplePlainService+"/reading", []byte(body))
 		if err != nil {
@@ -103,7 +103,7 @@
 			return err
 		}
 		if answer.Digest != emulator.PlainDigest([]byte(body)) || answer.Path != "/reading" {
-			return fmt.Errorf("answer %+v is not to %q", answer, body)
+			return fmt.Errorf("answer %+v does not belong to %q", answer, body)
 		}
 	}
 	return nil
--- a/test/scenario/scenario_test.go
+++ b/test/scenario/scenario_test.go
@@ -1,7 +1,6 @@
-// Package scenario runs stories over real processes: a platform stand-in, a
-// relay, emulated engines and daemons, each its own process on its own 127.x
-// address. A story is a testscript file in testdata; fleet_test.go defines its
-// commands.
+// Package scenario runs scripts against separate processes: an emulated platform, a
+// relay, emulated engines and daemons, each on its own 127.x address. A script is a
+// testscript file in testdata; commands_test.go defines its commands.
 package scenario
 
 import (
