--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,26 +10,26 @@
 	"topazpulley/internal/engine"
 )
 
-// EngineFaults are the switchable faults of one emulated engine.
+// EngineFaults are the injected faults of one emulated engine.
 type EngineFaults struct {
-	// Crashed makes the engine drop every connection; it has lost its state.
+	// Crashed makes the engine lose its state and close every connection.
 	Crashed bool `json:"crashed"`
-	// Draining makes it refuse new work and finish what runs.
+	// Draining makes the engine refuse new requests and finish the running ones.
 	Draining bool `json:"draining"`
-	// TruncateShare is the share of answers cut before their end marker.
+	// TruncateShare is the share of answers, 0 to 1, truncated before the end marker.
 	TruncateShare float64 `json:"truncate_share"`
-	// WrongIDShare is the share of answers that carry another attempt's id.
+	// WrongIDShare is the share of answers, 0 to 1, with the id of another attempt.
 	WrongIDShare float64 `json:"wrong_id_share"`
-	// RefuseShare is the share of requests refused as full.
+	// RefuseShare is the share of requests, 0 to 1, refused as full.
 	RefuseShare float64 `json:"refuse_share"`
 	// Slowdown multiplies step times; 0 means 1.
 	Slowdown float64 `json:"slowdown"`
-	// HideLoad makes load reports claim that the engine is idle.
+	// HideLoad makes the load reports show an idle engine.
 	HideLoad bool `json:"hide_load"`
 }
 
-// LedgerEntry records one attempt that an engine started: the ground truth
-// for checkers.
+// LedgerEntry records an attempt that an engine accepted. Checkers compare it with what
+// callers received.
 type LedgerEntry struct {
 	Engine    string          `json:"engine"`
 	AttemptID string          `json:"attempt_id"`
@@ -43,7 +43,7 @@
 	Prefilled int             `json:"prefilled_tokens"`
 }
 
-// sequence is one attempt inside an engine. The engine's lock guards it.
+// sequence is an attempt in an engine. Engine.mutex guards it.
 type sequence struct {
 	request     engine.GenerateRequest
 	prompt      string
@@ -62,7 +62,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Engine is one emulated engine with continuous batching.
+// Engine is an emulated engine with continuous batching.
 type Engine struct {
 	Name    string
 	Zone    string
@@ -86,7 +86,7 @@
 	wake     chan struct{}
 }
 
-// timedReport is a load report with its time, kept to emulate lag.
+// timedReport is a load report with its time. Earlier reports emulate the report lag.
 type timedReport struct {
 	at     time.Time
 	report engine.LoadReport
@@ -94,12 +94,12 @@
 
 const (
 	attemptRetention = 30 * time.Second
-	reportSampling   = 20 * time.Millisecond
+	reportInterval   = 20 * time.Millisecond
 	maxReports       = 256
 	idleWakeInterval = time.Second
 )
 
-// NewEngine returns an engine that has loaded nothing.
+// NewEngine returns an engine without loaded models.
 func NewEngine(name, zone, service string, plain bool, model EngineModel) *Engine {
 	return &Engine{
 		Name: name, Zone: zone, Service: service, Plain: plain,
@@ -111,23 +111,24 @@
 	}
 }
 
-// SetFaults replaces the faults. A crash drops all state.
+// SetFaults replaces the faults. A change to Crashed resets the engine's state.
 func (e *Engine) SetFaults(faults EngineFaults) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if faults.Crashed && !e.faults.Crashed {
-		e.loseState()
+		e.resetState()
 	}
 	e.faults = faults
 }
 
-// loseState drops everything an engine holds in memory. The lock is held.
-func (e *Engine) loseState() {
-	for _, held := range e.attempts {
-		if held.finish == "" {
-			held.finish = "crashed"
-			held.ledger.Finish = "crashed"
-			held.signal()
+// resetState ends all attempts as crashed and resets the state that a crash loses. The
+// ledger remains. mutex must be held.
+func (e *Engine) resetState() {
+	for _, target := range e.attempts {
+		if target.finish == "" {
+			target.finish = "crashed"
+			target.ledger.Finish = "crashed"
+			target.signal()
 		}
 	}
 	e.attempts = map[string]*sequence{}
@@ -138,7 +139,7 @@
 	e.cache = newPrefixCache(e.model.PrefixBlocks)
 }
 
-// Ledger returns a copy of what the engine ran.
+// Ledger returns a copy of the engine's ledger.
 func (e *Engine) Ledger() []LedgerEntry {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -149,7 +150,7 @@
 	return entries
 }
 
-// submit admits a request or returns the refusal code.
+// submit queues a request or returns a refusal code.
 func (e *Engine) submit(request engine.GenerateRequest) (*sequence, string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -203,7 +204,7 @@
 	return false
 }
 
-// enqueue inserts by priority, online first, in order of arrival.
+// enqueue inserts a sequence into the queue: online before batch, then by arrival.
 func (e *Engine) enqueue(admitted *sequence) {
 	if admitted.request.Priority != engine.PriorityOnline {
 		e.waiting = append(e.waiting, admitted)
@@ -223,44 +224,44 @@
 	}
 }
 
-// attempt returns a known attempt.
+// attempt returns an attempt by id.
 func (e *Engine) attempt(id string) (*sequence, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	held, known := e.attempts[id]
-	return held, known
+	target, known := e.attempts[id]
+	return target, known
 }
 
-// cancel ends an attempt early.
+// cancel cancels an attempt if it has not finished, and reports whether the id is known.
 func (e *Engine) cancel(id string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	held, known := e.attempts[id]
-	if !known || held.finish != "" {
+	target, known := e.attempts[id]
+	if !known || target.finish != "" {
 		return known
 	}
-	e.finishSequence(held, engine.FinishCancelled)
-	e.waiting = slices.DeleteFunc(e.waiting, func(other *sequence) bool { return other == held })
-	e.running = slices.DeleteFunc(e.running, func(other *sequence) bool { return other == held })
+	e.finishSequence(target, engine.FinishCancelled)
+	e.waiting = slices.DeleteFunc(e.waiting, func(other *sequence) bool { return other == target })
+	e.running = slices.DeleteFunc(e.running, func(other *sequence) bool { return other == target })
 	return true
 }
 
-func (e *Engine) finishSequence(held *sequence, reason string) {
-	held.finish = reason
-	held.finishedAt = time.Now()
-	held.ledger.Finish = reason
-	if held.running {
-		e.kvUsed -= sequenceKV(held)
-		held.running = false
+func (e *Engine) finishSequence(target *sequence, reason string) {
+	target.finish = reason
+	target.finishedAt = time.Now()
+	target.ledger.Finish = reason
+	if target.running {
+		e.kvUsed -= sequenceKV(target)
+		target.running = false
 	}
-	held.signal()
+	target.signal()
 }
 
-func sequenceKV(held *sequence) int {
-	return engine.EstimateTokens(held.request.Input) + held.request.MaxTokens
+func sequenceKV(target *sequence) int {
+	return engine.EstimateTokens(target.request.Input) + target.request.MaxTokens
 }
 
-// Run steps the engine until the context ends.
+// Run executes steps until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause, busy := e.step()
@@ -277,12 +278,13 @@
 	}
 }
 
-// step admits waiting sequences and returns how long the next step takes.
+// step starts waiting sequences and returns the duration of the next step, or false if no
+// sequence runs.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.admitWaiting()
-	e.forgetOldAttempts(time.Now())
+	e.removeOldAttempts(time.Now())
 	if len(e.running) == 0 {
 		return 0, false
 	}
@@ -315,8 +317,8 @@
 	e.running = append(e.running, next)
 }
 
-// prefillStep spends one chunk of prefill, online sequences first, and returns
-// the number of prompt tokens processed.
+// prefillStep processes up to PrefillChunk prompt tokens, online sequences first, and
+// returns the number of prompt tokens processed.
 func (e *Engine) prefillStep() int {
 	budget := e.model.PrefillChunk
 	for _, priority := range []engine.Priority{engine.PriorityOnline, engine.PriorityBatch} {
@@ -332,7 +334,7 @@
 	return e.model.PrefillChunk - budget
 }
 
-// produce gives every sequence whose prefill is done one token.
+// produce generates one token for every sequence whose prefill is complete.
 func (e *Engine) produce() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -359,18 +361,19 @@
 	active.signal()
 }
 
-func (e *Engine) forgetOldAttempts(now time.Time) {
+func (e *Engine) removeOldAttempts(now time.Time) {
 	if len(e.attempts) < 512 {
 		return
 	}
-	for id, held := range e.attempts {
-		if held.finish != "" && now.Sub(held.finishedAt) > attemptRetention {
+	for id, target := range e.attempts {
+		if target.finish != "" && now.Sub(target.finishedAt) > attemptRetention {
 			delete(e.attempts, id)
 		}
 	}
 }
 
-// order accepts a fenced order; loading takes time and refuses new work.
+// order applies an order unless its fence is stale. While the engine loads models it
+// refuses new requests.
 func (e *Engine) order(ctx context.Context, order engine.Order) string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -401,15 +404,15 @@
 	e.state = engine.StateReady
 }
 
-// report returns the load as it was ReportLagSeconds ago.
+// report returns the current state and the load of ReportLagSeconds ago.
 func (e *Engine) report(now time.Time) engine.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	current := e.currentReport()
 	lagged := current
-	horizon := now.Add(-time.Duration(e.model.ReportLagSeconds * e.model.TimeScale * float64(time.Second)))
+	latest := now.Add(-time.Duration(e.model.ReportLagSeconds * e.model.TimeScale * float64(time.Second)))
 	for _, sample := range e.reports {
-		if sample.at.After(horizon) {
+		if sample.at.After(latest) {
 			break
 		}
 		lagged = sample.report
@@ -444,9 +447,9 @@
 	return online, batch
 }
 
-// sampleReports records load for lagged reports until the context ends.
+// sampleReports records the load every reportInterval until the context ends.
 func (e *Engine) sampleReports(ctx context.Context) {
-	for periodic.Sleep(ctx, reportSampling) {
+	for periodic.Sleep(ctx, reportInterval) {
 		e.mutex.Lock()
 		e.reports = append(e.reports, timedReport{at: time.Now(), report: e.currentReport()})
 		if len(e.reports) > maxReports {
--- a/internal/emulator/engine_http.go
+++ b/internal/emulator/engine_http.go
@@ -16,8 +16,8 @@
 	"topazpulley/internal/engine"
 )
 
-// Serve answers on the listener until it is closed and steps the engine until
-// the context ends.
+// Serve runs the engine until the context ends and serves its protocol until the
+// listener is closed.
 func (e *Engine) Serve(ctx context.Context, listener net.Listener) error {
 	go e.Run(ctx)
 	go e.sampleReports(ctx)
@@ -104,36 +104,36 @@
 		}
 		return
 	}
-	held, known := e.attempt(id)
+	target, known := e.attempt(id)
 	if !known {
 		call.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
 	from, _ := strconv.Atoi(string(call.QueryArgs().Peek("from")))
-	e.stream(ctx, call, held, from)
+	e.stream(ctx, call, target, from)
 }
 
-// stream writes the attempt's tokens from an index on as server-sent events.
-func (e *Engine) stream(ctx context.Context, call *fasthttp.RequestCtx, held *sequence, from int) {
+// stream sends the attempt's tokens from an index as server-sent events.
+func (e *Engine) stream(ctx context.Context, call *fasthttp.RequestCtx, target *sequence, from int) {
 	faults := e.currentFaults()
-	id := held.request.AttemptID
+	id := target.request.AttemptID
 	if rand.Float64() < faults.WrongIDShare {
 		id = "another-" + id
 	}
 	truncateAt := -1
 	if rand.Float64() < faults.TruncateShare {
-		truncateAt = from + 1 + rand.IntN(max(held.request.MaxTokens-from, 1))
+		truncateAt = from + 1 + rand.IntN(max(target.request.MaxTokens-from, 1))
 	}
 	call.SetContentType("text/event-stream")
 	call.SetBodyStreamWriter(func(writer *bufio.Writer) {
-		e.writeEvents(ctx, writer, held, id, from, truncateAt)
+		e.writeEvents(ctx, writer, target, id, from, truncateAt)
 	})
 }
 
-func (e *Engine) writeEvents(ctx context.Context, writer *bufio.Writer, held *sequence, id string, from, truncateAt int) {
+func (e *Engine) writeEvents(ctx context.Context, writer *bufio.Writer, target *sequence, id string, from, truncateAt int) {
 	position := from
 	for {
-		tokens, finish, changed := e.progress(held, position)
+		tokens, finish, changed := e.progress(target, position)
 		for _, token := range tokens {
 			if position == truncateAt {
 				return
@@ -142,7 +142,7 @@
 			position++
 		}
 		if finish != "" && truncateAt < 0 {
-			e.writeEnd(writer, held, id, finish, position)
+			e.writeEnd(writer, target, id, finish, position)
 		}
 		if finish != "" || writer.Flush() != nil {
 			return
@@ -155,25 +155,25 @@
 	}
 }
 
-// writeEnd writes the end marker. A crashed engine never does.
-func (e *Engine) writeEnd(writer *bufio.Writer, held *sequence, id, finish string, count int) {
+// writeEnd writes the end marker, except after a crash.
+func (e *Engine) writeEnd(writer *bufio.Writer, target *sequence, id, finish string, count int) {
 	if finish == "crashed" {
 		return
 	}
 	writeEvent(writer, engine.Event{
 		AttemptID: id, End: true, Count: count, FinishReason: finish,
-		PromptTokens: engine.EstimateTokens(held.request.Input), CachedTokens: held.cached,
+		PromptTokens: engine.EstimateTokens(target.request.Input), CachedTokens: target.cached,
 	})
 	_ = writer.Flush()
 }
 
-func (e *Engine) progress(held *sequence, position int) ([]string, string, chan struct{}) {
+func (e *Engine) progress(target *sequence, position int) ([]string, string, chan struct{}) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if position > len(held.tokens) {
-		return nil, held.finish, held.changed
+	if position > len(target.tokens) {
+		return nil, target.finish, target.changed
 	}
-	return held.tokens[position:len(held.tokens):len(held.tokens)], held.finish, held.changed
+	return target.tokens[position:len(target.tokens):len(target.tokens)], target.finish, target.changed
 }
 
 func writeEvent(writer *bufio.Writer, event engine.Event) {
@@ -183,14 +183,14 @@
 	_, _ = writer.WriteString("\n\n")
 }
 
-// PlainAnswer is what a plain service answers.
+// PlainAnswer is the answer of a plain service.
 type PlainAnswer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Digest  string `json:"digest"`
 }
 
-// PlainDigest identifies the body that a plain service answers to.
+// PlainDigest returns the digest of a request body in PlainAnswer.
 func PlainDigest(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
 const plainServiceTime = 2 * time.Millisecond
--- a/internal/emulator/fence_test.go
+++ b/internal/emulator/fence_test.go
@@ -9,9 +9,9 @@
 	"topazpulley/internal/engine"
 )
 
-// TestFenceNeverFalls: orders that come late, twice or from a stale daemon
-// never lower the revision of an engine.
-func TestFenceNeverFalls(t *testing.T) {
+// TestFenceNeverDecreases checks that delayed, repeated or stale orders do not decrease an
+// engine's fence.
+func TestFenceNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		emulated := NewEngine("e", "z", "s", false, DefaultEngineModel())
 		highest := int64(0)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -14,12 +14,11 @@
 const (
 	// PathEngineFaults sets the EngineFaults of the engine named in the query.
 	PathEngineFaults = "/emulator/engine"
-	// PathLedger reads what all engines ran.
+	// PathLedger returns the ledger of all engines.
 	PathLedger = "/emulator/ledger"
 )
 
-// Fleet is a group of emulated engines in one process with one control
-// listener.
+// Fleet is a group of emulated engines in one process with a shared control listener.
 type Fleet struct {
 	mutex   sync.Mutex
 	engines map[string]*Engine
@@ -28,8 +27,8 @@
 // NewFleet returns an empty fleet.
 func NewFleet() *Fleet { return &Fleet{engines: map[string]*Engine{}} }
 
-// Start serves an engine at an address until the context ends and returns the
-// machine entry that announces it.
+// Start serves an engine on an address until the context ends and returns its entry for
+// the platform's machine list.
 func (f *Fleet) Start(ctx context.Context, started *Engine, address, region string) (storage.Machine, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,7 +56,7 @@
 	return found, known
 }
 
-// Ledger returns what all engines ran.
+// Ledger returns the ledger of all engines.
 func (f *Fleet) Ledger() []LedgerEntry {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -68,7 +67,7 @@
 	return entries
 }
 
-// ServeControl answers control calls on the listener until it is closed.
+// ServeControl serves the control calls until the listener is closed.
 func (f *Fleet) ServeControl(listener net.Listener) error {
 	server := &fasthttp.Server{Handler: f.handleControl, NoDefaultServerHeader: true}
 	return server.Serve(listener)
--- a/internal/emulator/inprocess.go
+++ b/internal/emulator/inprocess.go
@@ -8,16 +8,16 @@
 	"topazpulley/internal/storage"
 )
 
-// InProcess gives a platform's services without HTTP, for property tests and
-// tools in the same process.
+// InProcess provides a platform's services without HTTP, for property tests and tools in
+// the same process.
 type InProcess struct {
 	Platform *Platform
-	// LoseAnswer decides for each write whether it takes effect and its answer
-	// is lost; nil means never.
+	// LoseAnswer is called after each transaction and reports whether its answer is lost;
+	// nil means never.
 	LoseAnswer func() bool
 }
 
-func (p *InProcess) lost() error {
+func (p *InProcess) answerLoss() error {
 	if p.LoseAnswer != nil && p.LoseAnswer() {
 		return failure.New(failure.KindUnavailable, "answer_lost", "the answer was lost after the effect")
 	}
@@ -27,7 +27,7 @@
 // Transact implements storage.Table.
 func (p *InProcess) Transact(_ context.Context, transaction storage.Transaction) (storage.Version, error) {
 	result := p.Platform.Transact(transaction)
-	if err := p.lost(); err != nil {
+	if err := p.answerLoss(); err != nil {
 		return 0, err
 	}
 	if !result.Committed {
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,13 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// vocabulary is what emulated models answer with.
+// vocabulary holds the output tokens of emulated models.
 var vocabulary = []string{"the ", "boiler ", "valve ", "pressure ", "reads ", "bar ", "lesson ", "bow ", "scale ", "slowly ", "again ", "check ", "note ", "and ", "is ", "steady. "}
 
-// OutputToken returns token index of the answer to a prompt. It depends on the
-// prompt and the index only, so that every engine gives the same answer and a
-// checker can compute it. The first token is the prompt's hash, which shows
-// whose answer it is.
+// OutputToken returns the token with an index in the answer to a prompt. It depends only
+// on the prompt and the index, so that all engines give the same answer and a checker can
+// compute it. The first token is the hash of the prompt and identifies the answer.
 func OutputToken(prompt string, index int) string {
 	if index == 0 {
 		return strconv.FormatUint(xxhash.Sum64String(prompt), 16) + " "
@@ -22,7 +21,7 @@
 	return vocabulary[hash%uint64(len(vocabulary))]
 }
 
-// OutputTokens returns the whole answer to a prompt with the token limit.
+// OutputTokens returns the complete answer to a prompt with a token limit.
 func OutputTokens(prompt string, maxTokens int) []string {
 	tokens := make([]string, maxTokens)
 	for index := range tokens {
@@ -31,37 +30,36 @@
 	return tokens
 }
 
-// EngineModel is the token-time model of an engine: what prefill and decode
-// cost. Times are in seconds, before TimeScale.
+// EngineModel is the performance model of an engine. Times are in seconds and are
+// multiplied by TimeScale.
 type EngineModel struct {
 	// PrefillTokensPerSecond is the rate at which prompt tokens are processed.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
-	// PrefillChunk bounds prompt tokens processed in one step.
+	// PrefillChunk is the maximum number of prompt tokens processed in one step.
 	PrefillChunk int `json:"prefill_chunk"`
 	// StepBaseSeconds is the fixed part of a decode step.
 	StepBaseSeconds float64 `json:"step_base_seconds"`
 	// StepSequenceSeconds is added to a step per running sequence.
 	StepSequenceSeconds float64 `json:"step_sequence_seconds"`
-	// MaxRunning bounds the sequences in a batch.
+	// MaxRunning is the maximum number of sequences in a batch.
 	MaxRunning int `json:"max_running"`
-	// MaxWaiting bounds the queue; more is refused.
+	// MaxWaiting is the maximum queue length; further requests are refused.
 	MaxWaiting int `json:"max_waiting"`
-	// KVCapacity bounds the tokens held by running sequences.
+	// KVCapacity is the maximum number of tokens of the running sequences.
 	KVCapacity int `json:"kv_capacity"`
-	// PrefixBlocks bounds the prefix cache, in blocks of prefixBlockBytes.
+	// PrefixBlocks is the size of the prefix cache, in blocks of prefixBlockBytes.
 	PrefixBlocks int `json:"prefix_blocks"`
-	// LoadSeconds is the time to load models after an order.
+	// LoadSeconds is the time that loading models takes after an order.
 	LoadSeconds float64 `json:"load_seconds"`
-	// ReportLagSeconds delays load reports.
+	// ReportLagSeconds is the age of the load in load reports.
 	ReportLagSeconds float64 `json:"report_lag_seconds"`
-	// TimeScale multiplies all times; below 1 the engine runs faster than real.
+	// TimeScale multiplies all times; below 1 the engine is faster than real time.
 	TimeScale float64 `json:"time_scale"`
 }
 
-// DefaultEngineModel returns figures for a runner of several accelerators under
-// continuous batching: at 32 sequences a step takes 18 ms and the engine
-// generates 1,780 tokens a second, about the 1,719 that the users' aim gives
-// each of its 640 runners at the peak. docs/PERFORMANCE.md says what is assumed.
+// DefaultEngineModel returns the model of a backend with several accelerators and
+// continuous batching: with 32 sequences a step takes 18 ms and the engine generates
+// 1,780 tokens per second. docs/PERFORMANCE.md lists the assumptions.
 func DefaultEngineModel() EngineModel {
 	return EngineModel{
 		PrefillTokensPerSecond: 30000,
@@ -78,10 +76,10 @@
 	}
 }
 
-// prefixBlockBytes is the granularity of the prefix cache.
+// prefixBlockBytes is the block size of the prefix cache.
 const prefixBlockBytes = 256
 
-// prefixCache is an LRU set of cumulative block hashes. The engine's lock
+// prefixCache is an LRU set of prefix hashes, one for each block boundary. Engine.mutex
 // guards it.
 type prefixCache struct {
 	capacity int
@@ -93,11 +91,11 @@
 	return &prefixCache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// touch returns how many leading bytes of the prompt were cached and caches
-// all its full blocks.
+// touch adds all full blocks of the prompt to the cache and returns the number of leading
+// bytes that were cached before.
 func (c *prefixCache) touch(prompt string) int {
 	cachedBytes := 0
-	unbroken := true
+	isContiguous := true
 	for end := prefixBlockBytes; end <= len(prompt); end += prefixBlockBytes {
 		hash := xxhash.Sum64String(prompt[:end])
 		element, cached := c.blocks[hash]
@@ -106,8 +104,8 @@
 		} else {
 			c.insert(hash)
 		}
-		unbroken = unbroken && cached
-		if unbroken {
+		isContiguous = isContiguous && cached
+		if isContiguous {
 			cachedBytes = end
 		}
 	}
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -1,6 +1,6 @@
-// Package emulator holds stand-ins for the outside systems: the platform's
-// services and the engines. They speak the same protocols over HTTP and have
-// faults that tests and experiments switch while they run.
+// Package emulator emulates the external systems: the platform's services, the engines and
+// the network between daemons. The platform and the engines use the real protocols over
+// HTTP. Tests and experiments inject faults at run time.
 package emulator
 
 import (
@@ -22,18 +22,18 @@
 	"topazpulley/internal/storage"
 )
 
-// PlatformFaults are the switchable faults of the emulated platform.
+// PlatformFaults are the injected faults of the emulated platform.
 type PlatformFaults struct {
 	// Down makes every call fail without effect.
 	Down bool `json:"down"`
 	// Latency is added to every call.
 	Latency settings.Duration `json:"latency"`
-	// LoseAnswerShare is the share of writes, 0 to 1, that take effect and
-	// whose answer is lost.
+	// LoseAnswerShare is the share of writes, 0 to 1, whose answer is lost after they
+	// were applied.
 	LoseAnswerShare float64 `json:"lose_answer_share"`
-	// OperationsPerSecond limits calls; 0 means no limit.
+	// OperationsPerSecond is the rate limit of calls; 0 means none.
 	OperationsPerSecond float64 `json:"operations_per_second"`
-	// MachineListLag delays changes of the machine list.
+	// MachineListLag is the delay until a change appears in the machine list.
 	MachineListLag settings.Duration `json:"machine_list_lag"`
 }
 
@@ -49,7 +49,7 @@
 	calls    uint64
 }
 
-// machineChange is a machine state with the time it became true.
+// machineChange is a change of the machine list and its time.
 type machineChange struct {
 	machine storage.Machine
 	removed bool
@@ -60,11 +60,11 @@
 	tableDegree       = 32
 	maxScanRows       = 1000
 	platformBodyLimit = 256 << 20
-	// PathPlatformFaults reads and sets PlatformFaults.
+	// PathPlatformFaults sets PlatformFaults.
 	PathPlatformFaults = "/emulator/faults"
 	// PathPlatformMachine adds or changes a machine (PUT) or removes it (DELETE).
 	PathPlatformMachine = "/emulator/machine"
-	// PathPlatformCalls reads the number of calls served.
+	// PathPlatformCalls returns the number of calls received.
 	PathPlatformCalls = "/emulator/calls"
 )
 
@@ -101,14 +101,14 @@
 	p.machines = append(p.machines, machineChange{machine: storage.Machine{Name: name}, removed: true, at: time.Now()})
 }
 
-// Calls returns how many calls the platform has served.
+// Calls returns the number of calls received, without control calls.
 func (p *Platform) Calls() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.calls
 }
 
-// Serve answers on the listener until it is closed.
+// Serve serves the platform's protocol and the control calls until the listener is closed.
 func (p *Platform) Serve(listener net.Listener) error {
 	server := &fasthttp.Server{Handler: p.handle, MaxRequestBodySize: platformBodyLimit, NoDefaultServerHeader: true}
 	return server.Serve(listener)
@@ -195,7 +195,7 @@
 		p.handleObject(call, strings.TrimPrefix(path, storage.PathObjects))
 	case path == storage.PathMachines:
 		writeJSON(call, p.machineList(time.Now()))
-		answerConditionally(call)
+		applyETag(call)
 	default:
 		call.SetStatusCode(fasthttp.StatusNotFound)
 	}
@@ -292,14 +292,14 @@
 	call.SetBody(content[start : end+1])
 }
 
-// machineList replays the changes that are older than the lag.
+// machineList returns the machines after all changes that are older than the lag.
 func (p *Platform) machineList(now time.Time) []storage.Machine {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	visible := map[string]storage.Machine{}
-	horizon := now.Add(-time.Duration(p.faults.MachineListLag))
+	latest := now.Add(-time.Duration(p.faults.MachineListLag))
 	for _, change := range p.machines {
-		if change.at.After(horizon) {
+		if change.at.After(latest) {
 			continue
 		}
 		if change.removed {
@@ -316,8 +316,8 @@
 	return list
 }
 
-// answerConditionally tags the answer and leaves it out when the caller has it.
-func answerConditionally(call *fasthttp.RequestCtx) {
+// applyETag sets the ETag of the answer and answers 304 if the caller has that version.
+func applyETag(call *fasthttp.RequestCtx) {
 	tag := strconv.FormatUint(xxhash.Sum64(call.Response.Body()), 16)
 	call.Response.Header.Set("ETag", tag)
 	if string(call.Request.Header.Peek("If-None-Match")) == tag {
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -11,9 +11,9 @@
 	"topazpulley/internal/storage"
 )
 
-// TestMachineListIsReadOnceUntilItChanges: the client keeps a list that the
-// platform says has not changed, and sees a change after the lag.
-func TestMachineListIsReadOnceUntilItChanges(t *testing.T) {
+// TestMachineListConditionalRead checks that the client returns its cached machine list
+// while the platform reports no change, and a changed list after the lag.
+func TestMachineListConditionalRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -30,7 +30,7 @@
 	emulated.SetMachine(storage.Machine{Name: "two", State: storage.MachineLive})
 	list, err := client.List(t.Context())
 	require.NoError(t, err)
-	require.Less(t, len(list), 2, "the change is not visible before the lag")
+	require.Less(t, len(list), 2, "the change was visible before the lag")
 	require.Eventually(t, func() bool {
 		list, err := client.List(t.Context())
 		return err == nil && len(list) == 2
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -10,18 +10,18 @@
 	"topazpulley/internal/failure"
 )
 
-// PathCuts reads and sets the relay's cuts.
+// PathCuts sets the relay's cuts.
 const PathCuts = "/emulator/cuts"
 
-// Cut drops traffic from one zone to another.
+// Cut drops the traffic from one zone to another.
 type Cut struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// Relay carries the peer traffic of daemons and cuts it by (source,
-// destination) zone. Each daemon advertises an address of the relay; the
-// source of traffic is known by its IP number, which differs by daemon.
+// Relay forwards the peer traffic of daemons and drops it by source and destination zone.
+// Each daemon advertises an address of the relay. The relay identifies the source by its
+// IP address, which must differ between daemons.
 type Relay struct {
 	mutex       sync.Mutex
 	zones       map[string]string
@@ -29,7 +29,7 @@
 	connections map[*relayed]bool
 }
 
-// relayed is one carried TCP connection.
+// relayed is a forwarded TCP connection.
 type relayed struct {
 	near, far net.Conn
 	from, to  string
@@ -47,7 +47,7 @@
 	return &Relay{zones: map[string]string{}, cuts: map[Cut]bool{}, connections: map[*relayed]bool{}}
 }
 
-// Add carries UDP and TCP from a listen address to a target in a zone.
+// Add forwards UDP and TCP from a listen address to a target in a zone.
 func (r *Relay) Add(listen, target, zone string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
@@ -64,12 +64,12 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindUnavailable, "relay_listen", "cannot listen on %s", listen)
 	}
-	go r.carryPackets(packets, target, zone)
+	go r.forwardPackets(packets, target, zone)
 	go r.acceptStreams(stream, target, zone)
 	return nil
 }
 
-// SetCuts replaces all cuts and closes connections that they concern.
+// SetCuts replaces all cuts and closes the connections between the zones of a cut.
 func (r *Relay) SetCuts(cuts []Cut) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -97,7 +97,7 @@
 	return r.cuts[Cut{from, to}]
 }
 
-func (r *Relay) carryPackets(packets net.PacketConn, target, zone string) {
+func (r *Relay) forwardPackets(packets net.PacketConn, target, zone string) {
 	address, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return
@@ -120,13 +120,12 @@
 		if err != nil {
 			return
 		}
-		go r.carryStream(near, target, zone)
+		go r.forwardStream(near, target, zone)
 	}
 }
 
-// carryStream carries a connection unless either direction is cut: a stream
-// needs both.
-func (r *Relay) carryStream(near net.Conn, target, zone string) {
+// forwardStream forwards a connection unless one of its directions is cut.
+func (r *Relay) forwardStream(near net.Conn, target, zone string) {
 	from := r.zoneOf(near.RemoteAddr())
 	if r.isCut(from, zone) || r.isCut(zone, from) {
 		_ = near.Close()
@@ -137,23 +136,23 @@
 		_ = near.Close()
 		return
 	}
-	carried := &relayed{near: near, far: far, from: from, to: zone}
+	connection := &relayed{near: near, far: far, from: from, to: zone}
 	r.mutex.Lock()
-	r.connections[carried] = true
+	r.connections[connection] = true
 	r.mutex.Unlock()
-	go copyAndClose(carried, far, near)
-	copyAndClose(carried, near, far)
+	go copyAndClose(connection, far, near)
+	copyAndClose(connection, near, far)
 	r.mutex.Lock()
-	delete(r.connections, carried)
+	delete(r.connections, connection)
 	r.mutex.Unlock()
 }
 
-func copyAndClose(carried *relayed, to io.Writer, from io.Reader) {
+func copyAndClose(connection *relayed, to io.Writer, from io.Reader) {
 	_, _ = io.Copy(to, from)
-	carried.close()
+	connection.close()
 }
 
-// ServeControl answers control calls on the listener until it is closed.
+// ServeControl serves the control calls until the listener is closed.
 func (r *Relay) ServeControl(listener net.Listener) error {
 	server := &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(call *fasthttp.RequestCtx) {
 		cuts := []Cut{}
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -77,7 +77,7 @@
 mutant no_majority internal/revision/watcher.go \
 	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsMeet
 mutant no_fence internal/emulator/engine.go \
-	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverFalls
+	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverDecreases
 mutant no_leaving_check internal/registry/registry.go \
 	'!e.Machine.Leaving && ' '' internal/routing 'TestChosenEngineIsEligible|TestLeavingEngineIsNotChosen'
 mutant no_wave_bound internal/rollout/rollout.go \
