--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -77,7 +77,7 @@
 mutant no_majority internal/revision/watcher.go \
 	'return members/2 + 1 ' 'return 1 ' internal/revision TestQuorumsOverlap
 mutant no_fence internal/emulator/engine.go \
-	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverFalls
+	'order.Fence < e.fence' 'false' internal/emulator TestFenceNeverDecreases
 mutant no_leaving_check internal/registry/registry.go \
 	'!e.Machine.Leaving && ' '' internal/routing 'TestChosenEngineIsEligible|TestLeavingEngineIsNotChosen'
 mutant no_wave_bound internal/rollout/rollout.go \
@@ -93,17 +93,17 @@
 mutant no_direct_accusation internal/membership/probe.go \
 	'c.ownSuspects[name] = true' '' internal/membership/simulation TestSuspectsRefuteUnderHeavyLoss
 mutant no_attempt_echo internal/engine/client.go \
-	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestCrossedAnswersAreDropped
+	'if event.AttemptID != s.attemptID {' 'if false {' internal/harness TestForeignAnswersDropped
 mutant no_end_marker internal/engine/client.go \
 	'if event.Count != s.next {' 'if false {' internal/engine TestIncompleteAnswerIsRejected
 mutant no_result_copy internal/gateway/results.go \
-	'	g.copyToPeer(ctx, result)' '' internal/harness TestKeyedAnswerOutlivesItsDaemonDuringAnOutage
+	'	g.copyToPeer(ctx, result)' '' internal/harness TestStoredAnswerSurvivesDaemonLossDuringOutage
 mutant no_job_identity internal/batch/store.go \
 	'Conditions:  []storage.Condition{{Key: jobKey(job.Tenant, job.Key)}, {Key: stateKey(job.ID)}},' '' internal/batch TestCreateReturnsExistingJob
 mutant all_failures_not_run internal/engine/client.go \
 	'return &AttemptError{Outcome: OutcomeUnknown, Code: CodeBroken, cause: err}' 'return &AttemptError{Outcome: OutcomeNotRun, Code: CodeBroken, cause: err}' internal/engine TestBrokenConnectionHasUnknownOutcome
 mutant no_wait_at_stop internal/daemon/daemon.go \
-	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCutsOffNoRequest
+	'	d.gateway.Wait(ctx)' '' internal/harness TestPlannedStopCompletesRequests
 mutant no_pause_notice internal/membership/core.go \
 	'	c.compensatePause(now)' '' internal/membership TestPauseRaisesNoSuspicion
 mutant no_gossip_bound internal/membership/gossip.go \
@@ -337,7 +337,7 @@
 mutant bodies_behind_answers_to_head internal/httphead/write.go \
 	'isToHead || IsBodyless(status)' 'IsBodyless(status)' platform TestHeadAnswerHasNoBody
 mutant file_ids_are_paths internal/gateway/files.go \
-	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestFileIDsNameFilesOnly
+	'err != nil || !hasPrefix' 'err != nil && !hasPrefix && false' internal/harness TestInvalidFileIDRejected
 mutant wanted_end_not_told internal/job/cancelrequest.go \
 	'if !isOpen ||' 'if isOpen ||' internal/job TestOwnerContinuesCancelAfterReceiverStops
 mutant successor_not_told internal/job/cancelrequest.go \
@@ -372,7 +372,7 @@
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
 	'SetWriteDeadline(' 'SetReadDeadline(' internal/gateway TestLongStreamOutlastsWriteTimeout
 mutant gone_caller_not_noticed internal/gateway/presence.go \
-	'if isClosedByCaller(connection) {' 'if false {' internal/harness TestCallerOfAWholeAnswerThatLeavesEndsItsGeneration
+	'if isClosedByCaller(connection) {' 'if false {' internal/harness TestDisconnectCancelsUnstreamedRequest
 for part in test/mutants.d/*.sh; do
 	[ ! -f "$part" ] || . "./$part"
 done
