--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestWindowIsZeroAboveGuard and never exceeds its maximum, whatever the reports
-// and hints.
+// TestWindowIsZeroAboveGuard: for any reports and hints, the window is 0 while the online
+// load is above the guard, and never larger than its maximum.
 func TestWindowIsZeroAboveGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum, guard := rapid.IntRange(0, 64).Draw(t, "maximum"), rapid.IntRange(0, 16).Draw(t, "guard")
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,7 @@
 // Package exchange distributes the load of each daemon to the other daemons: its
 // requests in flight by backend, its waiting batch items and its queue statistics. It
-// also distributes prompt reads, backend failures and preemptions. In a small fleet every
+// also distributes prompt reads (large prompt parts that were sent to backends), backend
+// failures and preemptions. In a small fleet every
 // daemon sends to all others. In a large fleet each daemon sends to two relays of its
 // zone; a relay sends every daemon of the zone the total of all other daemons, and
 // relays of different zones exchange the totals of their zones. A daemon that uses only a
@@ -53,8 +54,9 @@
 // fleetName is the peer name under which the total received from a relay is stored.
 const fleetName = "fleet"
 
-// Exchange sends this daemon's loads and receives those of other daemons. The fields
-// before mutex are used by the goroutine of Run only; mutex guards the fields after it.
+// Exchange sends this daemon's loads and receives those of other daemons. The fields up
+// to Section do not change while Run runs. Only the goroutine of Run uses the fields from
+// last to othersAt; mutex guards the fields after it.
 type Exchange struct {
 	node     *cluster.Node
 	backends *backend.Set
@@ -161,8 +163,9 @@
 	return r.interval()
 }
 
-// send sends this daemon's loads and events unless nothing has changed since the last
-// message.
+// send sends this daemon's loads and events if they have changed since the last message.
+// Unchanged loads are sent again after refreshInterval, or after the recipients' interval
+// if that is longer, unless they are empty.
 func (e *Exchange) send(now time.Time, recipients recipients) {
 	loads := loadSet{inFlight: e.backends.OwnLoads(), waiting: e.backends.OwnWaiting(), queueStats: e.backends.OwnQueueStats(now)}
 	events := eventSet{reads: e.backends.TakePromptReads(), failures: e.backends.TakeUnsentFailures()}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -91,9 +91,8 @@
 	require.Eventually(t, func() bool { return second.candidate().Batch == 0 }, waitTime, pollTime)
 }
 
-// TestRelaysDistributeLoads: with relays, a daemon's loads, waiting items and failures
-// reach every daemon of all zones and are counted once; the loads of a stopped daemon
-// expire.
+// TestRelaysDistributeLoads: with relays, loads, waiting items and failures reach all
+// daemons and are counted once; the loads of a stopped daemon expire.
 func TestRelaysDistributeLoads(t *testing.T) {
 	const size = 8
 	daemons := []*daemon{}
--- a/internal/responsetimeout/responsetimeout.go
+++ b/internal/responsetimeout/responsetimeout.go
@@ -38,14 +38,16 @@
 )
 
 const (
-	// completeObjectives and firstEventObjectives are the longest timeouts, in objectives.
+	// completeObjectives and firstEventObjectives are the longest timeouts, as multiples of
+	// the objective.
 	completeObjectives   = 3
 	firstEventObjectives = 4
-	// fixedDivisor gives the timeout of ModeFixed, and of ModeLearned with too few samples:
-	// the objective divided by it. The rest is left for another backend.
+	// fixedDivisor gives the early timeout of complete responses in ModeFixed, and in
+	// ModeLearned with too few samples: the objective divided by it. The remaining time is
+	// for another backend.
 	fixedDivisor = 2
-	// floorDivisor gives the shortest timeout: the objective divided by it. Shorter
-	// delays can come from the network or from a busy daemon.
+	// floorDivisor gives the shortest learned timeout of complete responses: the objective
+	// divided by it. The network or a busy daemon can cause shorter delays.
 	floorDivisor = 8
 	// The learned timeout is the quantile timeoutQuantile of the response times,
 	// multiplied by timeoutFactor.
@@ -84,7 +86,7 @@
 func NewEstimates(mode Mode) *Estimates { return &Estimates{mode: mode, times: map[key]*times{}} }
 
 // PrefersOtherZones reports whether a request prefers other zones after a response
-// timeout. It does not without early timeouts, since too little time remains.
+// timeout. It is false in ModeObjectives, whose timeouts leave too little time for that.
 func (e *Estimates) PrefersOtherZones() bool { return e.mode != ModeObjectives }
 
 // Observe records the response time of a successful attempt. Attempts that timed out are
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -160,8 +160,9 @@
 	return *draw(model.preferred(near), random), true
 }
 
-// preferred returns the candidates with a free slot that need no new connection
-// or no traffic between zones, or near if there are none.
+// preferred returns the candidates with a free slot that are connected and in the
+// own zone; if there are none, those that are connected; then those in the own
+// zone. If there are none of these, it returns near.
 func (m CostModel) preferred(near []pricedCandidate) []pricedCandidate {
 	for _, isPreferred := range []func(*Candidate) bool{
 		func(candidate *Candidate) bool { return candidate.IsConnected && candidate.Zone == m.Zone },
--- a/internal/routing/cost_test.go
+++ b/internal/routing/cost_test.go
@@ -32,12 +32,12 @@
 		if rapid.Bool().Draw(t, "exclude") {
 			excluded[candidates[0].ID] = true
 		}
-		possible, sound := 0, 0
+		possible, notEjected := 0, 0
 		for _, candidate := range candidates {
 			if !candidate.Closed && !excluded[candidate.ID] {
 				possible++
 				if !candidate.Ejected {
-					sound++
+					notEjected++
 				}
 			}
 		}
@@ -49,7 +49,7 @@
 		}
 		require.False(t, chosen.Closed)
 		require.False(t, excluded[chosen.ID])
-		require.False(t, chosen.Ejected && sound > 0)
+		require.False(t, chosen.Ejected && notEjected > 0)
 	})
 }
 
@@ -61,19 +61,19 @@
 	for index := range 12 {
 		candidates = append(candidates, routing.Candidate{ID: fmt.Sprintf("b%d", index), Slots: 19, UncachedTokens: 13100})
 	}
-	homes := map[string]bool{}
+	chosenIDs := map[string]bool{}
 	for seed := range uint64(20) {
 		chosen, _ := routing.ChooseByCost(routing.DefaultCostModel(), prompt, candidates, nil, rand.New(rand.NewPCG(seed, seed)))
-		homes[chosen.ID] = true
+		chosenIDs[chosen.ID] = true
 	}
-	require.Len(t, homes, 1)
+	require.Len(t, chosenIDs, 1)
 	for index := range candidates {
-		if homes[candidates[index].ID] {
+		if chosenIDs[candidates[index].ID] {
 			candidates[index].PendingTokens = 60000
 		}
 	}
 	chosen, _ := routing.ChooseByCost(routing.DefaultCostModel(), prompt, candidates, nil, rand.New(rand.NewPCG(1, 1)))
-	require.False(t, homes[chosen.ID])
+	require.False(t, chosenIDs[chosen.ID])
 }
 
 // TestConcurrentChoicesSpread: daemons that choose at the same moment from the same
@@ -85,15 +85,15 @@
 		candidates = append(candidates, routing.Candidate{ID: fmt.Sprintf("b%d", index), Slots: slots, Online: 2 + index%3, UncachedTokens: 600})
 	}
 	candidates[0].Online, candidates[1].Online = 0, slots
-	placed := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(choices) {
 		chosen, found := routing.ChooseByCost(routing.DefaultCostModel(), nil, candidates, nil, rand.New(rand.NewPCG(seed, seed)))
 		require.True(t, found)
-		placed[chosen.ID]++
+		counts[chosen.ID]++
 	}
-	require.Zero(t, placed["b1"], "a full backend gets no request while others have free slots")
+	require.Zero(t, counts["b1"], "a full backend gets no request while others have free slots")
 	for _, candidate := range candidates {
-		require.LessOrEqual(t, placed[candidate.ID], candidate.Slots-candidate.Online, candidate.ID)
+		require.LessOrEqual(t, counts[candidate.ID], candidate.Slots-candidate.Online, candidate.ID)
 	}
 }
 
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestOpenConnectionAndOwnZonePreferred among candidates within the tolerance, as
-// long as they have a free slot.
+// TestOpenConnectionAndOwnZonePreferred: among candidates within the tolerance, those
+// with an open connection come first, then those in the own zone, if a slot is free.
 func TestOpenConnectionAndOwnZonePreferred(t *testing.T) {
 	model := routing.DefaultCostModel()
 	model.Zone = "here"
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -45,8 +45,7 @@
 	UseEjected bool
 }
 
-// Router chooses engines. It is safe for concurrent use only if its random
-// source is.
+// Router chooses engines. It is not safe for concurrent use.
 type Router struct {
 	Policy Policy
 	next   uint64
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -38,9 +38,8 @@
 	return view
 }
 
-// TestChosenEngineIsEligible: no policy picks an engine that is down, leaving,
-// ejected, excluded, full or without the model, and every policy picks an engine
-// if one is eligible.
+// TestChosenEngineIsEligible: every policy picks an engine if one is eligible, and
+// none that is down, leaving, ejected, excluded, full or without the model.
 func TestChosenEngineIsEligible(t *testing.T) {
 	policies := []routing.Policy{routing.PolicyFull, routing.PolicyLagCorrected, routing.PolicyReportOnly, routing.PolicyLeastInFlight, routing.PolicyRoundRobin}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/serving/core.go
+++ b/internal/serving/core.go
@@ -103,13 +103,14 @@
 	served.record()
 }
 
-// preemptCostMillis is the routing cost, in milliseconds, of a slot that a batch item has
-// to leave first: two datagrams, the end of the item's connection and the start of the
-// request.
+// preemptCostMillis is the routing cost, in milliseconds, of a slot for which a batch item
+// has to be preempted: two datagrams, the end of the item's connection and the start of
+// the request.
 const preemptCostMillis = 12
 
 // noBatchCostMillis is the routing cost, in milliseconds, of a backend without batch items
-// for a request that found no slot at several backends: half of the wait for a slot.
+// for a request that found no slot at several backends: half of the cost model's
+// QueueMilliseconds.
 const noBatchCostMillis = 25
 
 // choose picks a backend for the request and acquires a lease on it.
--- a/internal/serving/exchange.go
+++ b/internal/serving/exchange.go
@@ -24,7 +24,7 @@
 	refusalPause = 40 * time.Millisecond
 	// eventTimeout is the longest pause between the events of a resumable stream.
 	eventTimeout = 1500 * time.Millisecond
-	// retryAfterFull is the retry-after time when backends failed or refused the request,
+	// retryAfterFull is the retry delay when backends failed or refused the request,
 	// and retryAfterNone when none can be chosen.
 	retryAfterFull = 300 * time.Millisecond
 	retryAfterNone = 500 * time.Millisecond
@@ -65,7 +65,7 @@
 	// isDeprioritized is set when the request is overdue and yields to requests that can
 	// be on time.
 	isDeprioritized bool
-	// rejectRetryAfter is the retry-after time of a request that is rejected due to
+	// rejectRetryAfter is the retry delay of a request that is rejected due to
 	// overload; 0 if it is not rejected.
 	rejectRetryAfter time.Duration
 	// reservedAt is when the last attempt was sent with a reservation; zero if it had
@@ -151,11 +151,12 @@
 // waitForBackend pauses when no backend can be chosen and reports whether to try again.
 func (e *exchange) waitForBackend(ctx context.Context) bool {
 	if !e.hasBegun && e.core.Backends.IsEvacuated(e.request.Service) {
-		return false // an operator's evacuation outlasts a caller's wait
+		return false // an evacuation takes longer than callers wait
 	}
 	latest := e.request.Arrived.Add(e.request.Route.Objective)
 	if len(e.excluded) == 0 {
-		// No backend is known: refuse early so that the caller can retry.
+		// No backend is excluded, so none is available: refuse early so that the caller
+		// can retry.
 		latest = e.request.Arrived.Add(e.request.Route.Objective / 4)
 	}
 	if e.hasBegun {
--- a/internal/serving/incarnation_test.go
+++ b/internal/serving/incarnation_test.go
@@ -65,9 +65,8 @@
 
 func (s *breakingSender) HasEnded(context.Context, serving.Attempt) bool { return false }
 
-// TestCrashesOfOneBackendCountPerIncarnation checks that a request that crashes a backend
-// which restarts under its id is quarantined, although the backend accepts connections
-// again at once.
+// TestCrashesOfOneBackendCountPerIncarnation checks that repeated crashes of one backend
+// quarantine a request, although the backend restarts at once under the same id.
 func TestCrashesOfOneBackendCountPerIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		guard, backends := newGuard(), backend.NewSet()
--- a/internal/serving/notrun_test.go
+++ b/internal/serving/notrun_test.go
@@ -92,10 +92,10 @@
 		}
 		policy := &route.Route{
 			Kind: route.Kind(rapid.IntRange(0, int(route.KindStream)).Draw(r, "kind")), Resumable: rapid.Bool().Draw(r, "resumable"),
-			Timeout: 2 * time.Second, Objective: 60 * time.Millisecond, MaxAttempts: rapid.IntRange(1, 3).Draw(r, "greatest"),
+			Timeout: 2 * time.Second, Objective: 60 * time.Millisecond, MaxAttempts: rapid.IntRange(1, 3).Draw(r, "max attempts"),
 			Targets: []route.Target{{Service: "s", Weight: 1}},
 		}
-		disconnectsAfter := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 100, 1000}).Draw(r, "leaves")) * time.Millisecond
+		disconnectsAfter := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 100, 1000}).Draw(r, "disconnects after")) * time.Millisecond
 		caller := &recorder{}
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -116,9 +116,8 @@
 	})
 }
 
-// TestNotRunVerdictFollowsSentAttempts checks two fixed cases of the random test: a
-// connection that was not made before the watchdog fired, and one that broke before the
-// first byte of the answer.
+// TestNotRunVerdictFollowsSentAttempts checks two fixed cases of the random test: no
+// connection before the watchdog fires, and a broken one before the answer's first byte.
 func TestNotRunVerdictFollowsSentAttempts(t *testing.T) {
 	for _, drawn := range []struct {
 		first     attemptEnd
--- a/internal/serving/preempt.go
+++ b/internal/serving/preempt.go
@@ -56,8 +56,9 @@
 		"batch", chosen.Batch, "slots", chosen.Slots, "waiting", chosen.Waiting)
 }
 
-// reserve makes a reservation for an attempt. After several refusals the request is sent
-// without one and queues at the backend.
+// reserve makes a reservation for an attempt if the service takes reservations. A request
+// that waited for a slot and got none is sent without a reservation and queues at the
+// backend.
 func (e *exchange) reserve(ctx context.Context, attempt *Attempt) error {
 	if e.allowedPreemption() != preemptNothing {
 		return nil
--- a/internal/serving/request.go
+++ b/internal/serving/request.go
@@ -151,8 +151,7 @@
 	Load() (backend.Report, bool)
 	// Body reads the rest of an answer that is not a series of events.
 	Body() ([]byte, error)
-	// Next returns the next event, or io.EOF after the last event of a stream that ended
-	// as complete.
+	// Next returns the next event, or io.EOF after the last event of a complete stream.
 	Next() (Event, error)
 	// Detach releases the connection to the backend and aborts the answer if it has not
 	// ended. What was read remains valid.
@@ -210,15 +209,23 @@
 
 // The reasons for which attempts give no answer.
 const (
-	ReasonUnreachable   Reason = "unreachable"
-	ReasonRefused       Reason = "refused"
+	ReasonUnreachable Reason = "unreachable"
+	ReasonRefused     Reason = "refused"
+	// ReasonOtherInstance means that another instance answered at the backend's address.
 	ReasonOtherInstance Reason = "other_instance"
-	ReasonNoConnection  Reason = "no_connection"
-	ReasonBroken        Reason = "broken"
-	ReasonCorrupt       Reason = "spoiled"
-	ReasonSilent        Reason = "silent"
-	ReasonRequestEnded  Reason = "ended"
-	ReasonError         Reason = "error"
+	// ReasonNoConnection means that all allowed connections to the backend are in use.
+	ReasonNoConnection Reason = "no_connection"
+	// ReasonBroken means that the connection broke before the answer was complete.
+	ReasonBroken Reason = "broken"
+	// ReasonCorrupt means that the answer is invalid.
+	ReasonCorrupt Reason = "spoiled"
+	// ReasonSilent means that the backend did not respond within its timeout.
+	ReasonSilent Reason = "silent"
+	// ReasonRequestEnded means that the caller disconnected or the deadline passed.
+	ReasonRequestEnded Reason = "ended"
+	// ReasonError means that the backend answered with a failure status, or not with the
+	// expected stream.
+	ReasonError Reason = "error"
 	// ReasonNoSlot means that the backend made no reservation.
 	ReasonNoSlot Reason = "no_place"
 	// ReasonPermitRefused means that Permit refused the attempt.
@@ -273,16 +280,17 @@
 	// VerdictHeaderTimeout means that the request was not received within the header
 	// timeout.
 	VerdictHeaderTimeout
-	// VerdictOverQuota makes the promise of VerdictNotRun: the quota of waiting work is
-	// used up.
+	// VerdictOverQuota means that the quota of waiting work is used up. It promises the
+	// same as VerdictNotRun.
 	VerdictOverQuota
-	// VerdictOverRate makes the promise of VerdictNotRun: the tenant's limit is used up.
+	// VerdictOverRate means that the tenant's limit is used up. It promises the same as
+	// VerdictNotRun.
 	VerdictOverRate
 	// VerdictUnauthorized means that the call carries no known key.
 	VerdictUnauthorized
-	// VerdictQuarantined makes the promise of VerdictNotRun for this call. Earlier calls
-	// of the same request crashed backends, and it is not sent to any until the
-	// retry-after time has passed.
+	// VerdictQuarantined means that the request crashed backends and is not sent to any
+	// until the retry delay has passed. It promises the same as VerdictNotRun, but for this
+	// call only.
 	VerdictQuarantined
 )
 
--- a/internal/serving/reserve.go
+++ b/internal/serving/reserve.go
@@ -9,8 +9,8 @@
 
 const (
 	// minAttemptedBackends and maxAttemptedBackends bound the number of backends at which
-	// a request attempts a reservation before it queues. The number is one in
-	// backendsPerAttempt of the service's backends.
+	// a request attempts a reservation before it waits for a slot. Between the bounds, the
+	// number is that of the service's backends divided by backendsPerAttempt.
 	minAttemptedBackends = 3
 	maxAttemptedBackends = 8
 	backendsPerAttempt   = 8
--- a/internal/serving/sendlog.go
+++ b/internal/serving/sendlog.go
@@ -25,9 +25,9 @@
 	return SendFirst
 }
 
-// logSent logs the origin of an attempt just before its first byte is sent. The line
-// relates a backend's log, which has only the request id, to a caller, also if the daemon
-// exits before it logs request_ended. A request logs at most maxSends such lines.
+// logSent logs the origin of an attempt just before its first byte is sent. The line shows
+// the caller for a request id in a backend's log, even if the daemon exits before it logs
+// request_ended. A request logs at most maxSends such lines.
 func (e *exchange) logSent(attempt *Attempt) {
 	e.core.Logger.Info("request_sent", "id", e.request.ID, "backend", attempt.Instance.ID, "born", attempt.Instance.StartMillis, "attempt", e.sends,
 		"kind", string(KindOfSend(e.sends, attempt.LastEvent)), "caller", e.request.Caller, "tenant", attempt.Tenant,
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -228,7 +228,7 @@
 			Targets: []route.Target{{Service: "s", Weight: 1}},
 		}
 		caller := &recorder{}
-		refusals := rapid.SliceOfN(rapid.SampledFrom([]serving.Reason{"", serving.ReasonRefused, serving.ReasonUnreachable}), 0, 6).Draw(t, "places")
+		refusals := rapid.SliceOfN(rapid.SampledFrom([]serving.Reason{"", serving.ReasonRefused, serving.ReasonUnreachable}), 0, 6).Draw(t, "refusals")
 		sender := &script{draw: draw, refusals: refusals, ran: map[string]bool{}, lastSeen: caller}
 		core := newCore(sender)
 		if rapid.Bool().Draw(t, "backends take reservations") {
@@ -289,8 +289,7 @@
 }
 
 // TestRequestQueuesAfterSlotWait checks that a request is sent without a reservation after
-// the longest wait, and attempts reservations more often while it can be on time than when
-// it is overdue.
+// the longest wait, and that it attempts fewer reservations when it is overdue.
 func TestRequestQueuesAfterSlotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := &route.Route{Kind: route.KindStream, Timeout: time.Minute, Objective: 300 * time.Millisecond, MaxAttempts: 1, Targets: []route.Target{{Service: "s"}}}
@@ -358,7 +357,7 @@
 	return nil, &serving.AttemptError{Outcome: serving.OutcomeNotRun, Reason: serving.ReasonRefused}
 }
 
-// TestNoBackendRefusedWithRetryAfter checks that a request is refused with a retry-after time if
+// TestNoBackendRefusedWithRetryAfter checks that a request is refused with a retry delay if
 // its service has no backend.
 func TestNoBackendRefusedWithRetryAfter(t *testing.T) {
 	caller := &recorder{}
--- a/internal/serving/slotwait.go
+++ b/internal/serving/slotwait.go
@@ -39,8 +39,8 @@
 	return e.reserved.name == "" && !e.isQueued && e.reservesSlots() && e.noSlotCount >= attemptedBackends(e.core.Backends.Count(e.request.Service))
 }
 
-// waitForSlot attempts reservations until one succeeds or until the request has to queue
-// at a backend.
+// waitForSlot attempts reservations until one succeeds, or until the request is rejected,
+// is quarantined or has to queue at a backend.
 func (e *exchange) waitForSlot(ctx context.Context) {
 	started := time.Now()
 	defer func() { e.waited += time.Since(started) }()
@@ -71,7 +71,7 @@
 	clear(e.excluded)
 }
 
-// maxRejectRetryAfter bounds the retry-after time of rejected requests: it is derived from
+// maxRejectRetryAfter bounds the retry delay of rejected requests: it is derived from
 // the slots freed in the last second, and the free capacity can change quickly.
 const maxRejectRetryAfter = 3 * time.Second
 
--- a/internal/serving/slotwait_test.go
+++ b/internal/serving/slotwait_test.go
@@ -89,9 +89,8 @@
 	return 0
 }
 
-// TestOverdueRequestYieldsAndIsRejected checks that, while requests on time need all
-// slots, an overdue request rarely attempts reservations and is finally refused as not run
-// with a retry-after time. It must not queue at a backend before requests on time.
+// TestOverdueRequestYieldsAndIsRejected checks that, while requests on time need all slots,
+// an overdue request attempts few reservations and is refused instead of queued.
 func TestOverdueRequestYieldsAndIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result := waitForSlot(overloadedFleet, true, 1000, 0)
@@ -123,9 +122,8 @@
 	})
 }
 
-// TestOverdueRequestUsesFreeCapacity checks that an overdue request attempts reservations
-// as often as slots become free, if no request on time waits, and finally queues at a
-// backend.
+// TestOverdueRequestUsesFreeCapacity checks that, if no request on time waits, an overdue
+// request attempts reservations often and finally queues at a backend.
 func TestOverdueRequestUsesFreeCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unordered, result := waitForSlot(freeFleet, false, 1000, 0), waitForSlot(freeFleet, true, 1000, 0)
--- a/internal/serving/suspend_test.go
+++ b/internal/serving/suspend_test.go
@@ -121,9 +121,8 @@
 	}
 }
 
-// TestRequestEndsAfterSuspensionPastDeadline checks that a request whose deadline passes
-// during a suspension ends when the machine resumes, and one whose deadline does not pass
-// ends at its deadline. Three of four seconds remain when the suspension begins.
+// TestRequestEndsAfterSuspensionPastDeadline checks that a request ends at its deadline, or
+// when the machine resumes if the deadline passes during a suspension.
 func TestRequestEndsAfterSuspensionPastDeadline(t *testing.T) {
 	for span, awakeTime := range map[time.Duration]time.Duration{
 		time.Second:     suspendedCallerTimeout - time.Second,
--- a/internal/serving/timeout_test.go
+++ b/internal/serving/timeout_test.go
@@ -34,13 +34,13 @@
 	// duration is the response time of the other backends.
 	duration time.Duration
 	// sentTo are the backends to which attempts were sent; cancelled counts the attempts
-	// that this side ended, and endedAtWork those of them whose backend would have
-	// responded.
-	sentTo      []string
-	cancelled   int
-	endedAtWork int
-	running     int
-	maxRunning  int
+	// whose context ended before the response, and cancelledWorking those of them at
+	// backends that are not silent.
+	sentTo           []string
+	cancelled        int
+	cancelledWorking int
+	running          int
+	maxRunning       int
 }
 
 func (s *silentSender) begin(id string) (isSilent bool, duration time.Duration) {
@@ -60,7 +60,7 @@
 		s.cancelled++
 	}
 	if isCancelled && !isSilent {
-		s.endedAtWork++
+		s.cancelledWorking++
 	}
 }
 
@@ -130,9 +130,8 @@
 	})
 }
 
-// TestEarlyEndsBoundedUnderOverload checks that, when all backends become slower than the
-// objective, at most one in ten attempts plus the reserve is ended early, and none once
-// the new response times are learned.
+// TestEarlyEndsBoundedUnderOverload checks that few attempts are ended early when all backends
+// become slower than the objective, and none once the new response times are learned.
 func TestEarlyEndsBoundedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sender := &silentSender{duration: workTime}
@@ -140,10 +139,10 @@
 		serveMany(core, repeatable(3), 200)
 		sender.duration = 300 * time.Millisecond
 		serveMany(core, repeatable(3), 200)
-		require.LessOrEqual(t, sender.endedAtWork, 40)
-		before := sender.endedAtWork
+		require.LessOrEqual(t, sender.cancelledWorking, 40)
+		before := sender.cancelledWorking
 		serveMany(core, repeatable(3), 200)
-		require.Equal(t, before, sender.endedAtWork)
+		require.Equal(t, before, sender.cancelledWorking)
 	})
 }
 
@@ -178,8 +177,8 @@
 		core := newZonedCore(sender)
 		core.ResponseTimes = responsetimeout.NewEstimates(responsetimeout.ModeFixed)
 		serveMany(core, repeatable(3), 200)
-		require.Positive(t, sender.endedAtWork)
-		require.LessOrEqual(t, sender.endedAtWork, 10+200/10)
+		require.Positive(t, sender.cancelledWorking)
+		require.LessOrEqual(t, sender.cancelledWorking, 10+200/10)
 	})
 }
 
--- a/internal/slotqueue/slotqueue_test.go
+++ b/internal/slotqueue/slotqueue_test.go
@@ -14,9 +14,8 @@
 // ages are the ages of the queue statistics that are tested.
 var ages = []time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond}
 
-// TestOverloadServesOnTimeRequests: during overload nearly all slots go to requests that
-// meet their objective, whatever the age of the statistics; no caller leaves without an
-// answer; and no more slots stay unused than with independent requests.
+// TestOverloadServesOnTimeRequests: during overload, coordination gives nearly all slots to
+// requests that meet their objective, loses no caller and leaves no more slots unused.
 func TestOverloadServesOnTimeRequests(t *testing.T) {
 	for _, ratio := range []float64{0.6, 0.75, 0.9} {
 		for _, age := range ages {
@@ -34,8 +33,8 @@
 	}
 }
 
-// TestSpareCapacityNeedsNoCoordination: without overload, coordinated requests fare like
-// independent ones.
+// TestSpareCapacityNeedsNoCoordination: without overload, coordination does not change the
+// results.
 func TestSpareCapacityNeedsNoCoordination(t *testing.T) {
 	for _, age := range ages {
 		require.Equal(t, simulate(independent, 1.2, age, 1), simulate(coordinated, 1.2, age, 1))
@@ -45,13 +44,13 @@
 	}
 }
 
-// TestOverdueNeverRetriesMoreOften than an on-time request, whatever the statistics, even
-// invalid ones; without freed slots the pause is that without statistics.
+// TestOverdueNeverRetriesMoreOften: an overdue request never pauses for less time than an
+// on-time one, even if the statistics are invalid.
 func TestOverdueNeverRetriesMoreOften(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.IntRange(-5, 5000)
-		fleet := slotqueue.Stats{OnTime: draw.Draw(t, "in time"), Overdue: draw.Draw(t, "late"), FreedSlots: draw.Draw(t, "freed")}
-		onTime := slotqueue.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "left"))}
+		fleet := slotqueue.Stats{OnTime: draw.Draw(t, "on time"), Overdue: draw.Draw(t, "overdue"), FreedSlots: draw.Draw(t, "freed")}
+		onTime := slotqueue.Request{Remaining: time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "remaining"))}
 		overdue := slotqueue.Request{Remaining: -time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "beyond"))}
 		require.Equal(t, slotqueue.PauseWithoutStats(onTime), slotqueue.Pause(onTime, fleet))
 		require.GreaterOrEqual(t, slotqueue.Pause(overdue, fleet), slotqueue.Pause(onTime, fleet))
