--- a/internal/batch/model_test.go
+++ b/internal/batch/model_test.go
@@ -73,7 +73,7 @@
 // claimant draws an owner with a claim that may be stale.
 func (m *chunkModel) claimant(t *rapid.T) (string, batch.ClaimedChunk) {
 	if len(m.claimed) == 0 {
-		t.Skip("nobody holds the chunk")
+		t.Skip("nobody has claimed the chunk")
 	}
 	owner := rapid.SampledFrom(slices.Sorted(maps.Keys(m.claimed))).Draw(t, "holder")
 	return owner, m.claimed[owner]
--- a/internal/batch/queue.go
+++ b/internal/batch/queue.go
@@ -40,8 +40,8 @@
 }
 
 // Add adds a job with its waiting chunks. The virtual time of a tenant without
-// queued jobs is raised to the minimum of the others, so that an idle time gives
-// the tenant no priority.
+// queued jobs is raised to the minimum of the others, so that the tenant gains
+// no priority by having been idle.
 func (q *Queue) Add(job Job, weight int, waiting []int) {
 	if !q.hasTenant(job.Tenant) {
 		q.virtualTime[job.Tenant] = max(q.virtualTime[job.Tenant], q.minVirtualTime())
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -21,8 +21,8 @@
 // NewStore returns a store over the daemon's platform client.
 func NewStore(client *storage.Client) *Store { return &Store{platform: client} }
 
-// ClaimedChunk is a chunk with the row versions that its next write is
-// conditional on.
+// ClaimedChunk is a chunk with the row versions that are the conditions of its
+// next write.
 type ClaimedChunk struct {
 	Chunk Chunk
 	// Version is the version of the chunk's row.
--- a/internal/batch/worker.go
+++ b/internal/batch/worker.go
@@ -190,8 +190,8 @@
 	return missing
 }
 
-// uncommittedResults returns the number of uncommitted results. The caller has
-// locked mutex.
+// uncommittedResults returns the number of uncommitted results. The caller holds
+// mutex.
 func (w *Worker) uncommittedResults() int {
 	count := 0
 	for _, chunk := range w.active {
@@ -202,8 +202,8 @@
 	return count
 }
 
-// waitingItems returns the number of waiting tasks of a service. The caller has
-// locked mutex.
+// waitingItems returns the number of waiting tasks of a service. The caller holds
+// mutex.
 func (w *Worker) waitingItems(service string) int {
 	count := 0
 	for _, chunk := range w.active {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -122,7 +122,7 @@
 }
 
 // resetState ends all attempts as crashed and resets the state that a crash loses. The
-// ledger remains. mutex must be held.
+// ledger remains. The caller holds mutex.
 func (e *Engine) resetState() {
 	for _, target := range e.attempts {
 		if target.finish == "" {
--- a/internal/engine/cancel.go
+++ b/internal/engine/cancel.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// cancelTries is how often a cancellation is sent until the engine answers. With
+	// cancelTries is the maximum number of times that a cancellation is sent. With
 	// controlTimeout and the pauses in between this takes 13 s at most.
 	cancelTries = 5
 	// cancelPause is the pause after the first try; it doubles with each further try.
--- a/internal/experiment/deployment.go
+++ b/internal/experiment/deployment.go
@@ -13,7 +13,7 @@
 	"topazpulley/internal/harness"
 )
 
-// Deployment is the shape of one user's fleet and load.
+// Deployment describes one user's fleet and load.
 type Deployment struct {
 	Name         string
 	Zones        []string
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -104,8 +104,9 @@
 	Rows           []Row   `json:"rows"`
 }
 
-// Run measures every policy once per seed and writes progress lines. The policies
-// take turns, so that other load on the machine affects all of them alike.
+// Run measures every policy once per seed and writes progress lines. For each
+// seed it measures all policies in turn, so that other load on the machine affects
+// all of them alike.
 func Run(config Config, progress io.Writer) (Report, error) {
 	deployment, known := Deployments[config.Deployment]
 	if !known {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -153,12 +153,14 @@
 	return nil
 }
 
-// usage holds token counts from the engines' ledgers, and the number of attempts.
-// prompt are prefilled tokens, cached tokens found in prefix caches, wasted
-// prefilled tokens of cancelled batch items.
+// usage contains token counts from the engines' ledgers and the number of attempts.
 type usage struct {
-	online, batch  int
-	wasted         int
+	// online and batch are generated tokens by priority.
+	online, batch int
+	// wasted is the number of prefilled tokens of cancelled batch items.
+	wasted int
+	// prompt is the number of prefilled tokens, cached that of prompt tokens found in
+	// prefix caches.
 	prompt, cached int
 	attempts       int
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -61,10 +61,10 @@
 	return view, false, len(routing.Eligible(query, engines, now)) > 0
 }
 
-// sendYieldHint notifies the engine's supervisor of the request before the engine's
-// next load report, if the engine runs batch work. An engine gets at most one hint
-// per hintInterval.
-func (g *Gateway) sendYieldHint(view registry.Engine) {
+// sendPreemptionHint reports the request to the engine's supervisor before the next
+// load report, if the engine runs batch work. At most one hint is sent per engine and
+// hintInterval.
+func (g *Gateway) sendPreemptionHint(view registry.Engine) {
 	if g.WithoutHints || (view.Load.Batch == 0 && view.Load.BatchWindow == 0) {
 		return
 	}
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -194,7 +194,8 @@
 	return now.Add(time.Duration(millis) * time.Millisecond), nil
 }
 
-// run is an admitted request whose first event has arrived.
+// run is a request whose first event has arrived. A request that is answered by a
+// stored answer or an earlier attempt is not admitted again.
 type run struct {
 	gateway *Gateway
 	request onlineRequest
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -72,7 +72,7 @@
 	return connection, nil
 }
 
-// close closes the call's connection, or its later connection if it has none yet.
+// close closes the call's connection, now or as soon as it is made.
 func (f *forwardedCall) close() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,7 +95,7 @@
 	// suspended; if nil, they end only when their timers fire.
 	Wakeups *boottime.Wakeups
 	Routing routing.Policy
-	// WithoutHints disables yield hints, for experiments.
+	// WithoutHints disables preemption hints, for experiments.
 	WithoutHints bool
 	// Describe returns this daemon's duties for the status page.
 	Describe func() Duties
@@ -121,7 +121,7 @@
 	mutex    sync.Mutex
 	router   *routing.Router
 	limiters map[string]*admission.Limiter
-	// hintedAt is the time of the last yield hint, by engine.
+	// hintedAt is the time of the last preemption hint, by engine.
 	hintedAt map[string]time.Time
 }
 
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -170,7 +170,7 @@
 
 func (n *generation) send(ctx context.Context) error {
 	n.gateway.Registry.Begin(n.view.Name)
-	n.gateway.sendYieldHint(n.view)
+	n.gateway.sendPreemptionHint(n.view)
 	n.ran.Sent()
 	n.gateway.logSent(n.request, n.view, n.attemptID, n.attempt, serving.KindOfSend(n.attempt, int64(len(n.tokens))))
 	stop := context.AfterFunc(ctx, func() { n.cancelUnanswered(ctx) })
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -51,8 +51,8 @@
 	lastTick      time.Time
 	startedAt     time.Time
 	gossipRound   int
-	// healthScore rises with each probe that this member sent without an answer
-	// and falls with each answer. It lengthens the probe timeouts.
+	// healthScore rises with each of this member's probes that gets no answer and
+	// falls with each answer. It lengthens the probe timeouts.
 	healthScore int
 
 	items map[string]storedItem
@@ -268,8 +268,8 @@
 	c.enqueueMember(c.self)
 }
 
-// suspicionTimeout is how long a suspect may refute. It grows with the logarithm
-// of the fleet's size.
+// suspicionTimeout returns the time in which a suspect may refute. It grows with the
+// logarithm of the fleet's size.
 func (c *Core) suspicionTimeout() time.Duration {
 	scale := math.Max(1, math.Log10(float64(max(c.liveCount, 1))))
 	return time.Duration(c.config.SuspicionFactor * scale * float64(c.config.ProbeInterval))
@@ -367,7 +367,7 @@
 
 // compareDigest requests a full exchange if the sender's digests differ from this
 // member's, at most once per sync interval. Digests also differ while a change
-// spreads by gossip; such an exchange carries little.
+// spreads by gossip; such an exchange transfers little data.
 func (c *Core) compareDigest(now time.Time, packet Packet) {
 	sender, isKnown := c.members[packet.From]
 	isSame := packet.Digest == int64(c.digest)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -20,7 +20,7 @@
 	member   Member
 	item     Item
 	priority Priority
-	// transmits is how often the update was sent; it is dropped at limit.
+	// transmits is how many times the update was sent; it is dropped at limit.
 	transmits int
 	limit     int
 	// size is in bytes.
@@ -34,8 +34,8 @@
 	packetHeaderBytes = 48
 	memberFixedBytes  = 14
 	itemFixedBytes    = 12
-	// loadRetransmits is the most often that one member sends a load item. The
-	// next refresh replaces a lost one.
+	// loadRetransmits is the maximum number of times that a member sends a load
+	// item. The next refresh replaces a lost one.
 	loadRetransmits = 2
 	// durableTTLFactor times Config.ItemTTL is the time to live of durable items.
 	durableTTLFactor = 20
@@ -71,13 +71,14 @@
 	c.queue[key] = &queuedUpdate{key: key, isItem: true, item: item, priority: item.Priority, limit: limit, size: itemSize(item)}
 }
 
-// retransmits is how often a member sends an update to an audience of a size.
+// retransmits returns how many times a member sends an update that is for the given
+// number of members.
 func (c *Core) retransmits(audience int) int {
 	return int(math.Ceil(c.config.RetransmitFactor * math.Log10(float64(audience+1))))
 }
 
 // Publish stores an item with the next version of its key and gossips it. It
-// emits EventItem here as on every other member.
+// emits EventItem, as every other member does on receipt.
 func (c *Core) Publish(item Item, now time.Time) {
 	item.Version = max(c.items[item.Key].item.Version+1, now.UnixMilli())
 	c.applyItem(item, now)
@@ -238,7 +239,7 @@
 	}
 }
 
-// take adds an update to a packet and drops it from the queue at its limit.
+// appendUpdate adds an update to a packet and drops it from the queue at its limit.
 func (c *Core) appendUpdate(packet *Packet, update *queuedUpdate) {
 	if update.isItem {
 		packet.Items = append(packet.Items, update.item)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -161,7 +161,7 @@
 	// IndirectProbes is the number of members that send an indirect probe.
 	IndirectProbes int
 	// SuspicionFactor times max(1, log10(live members)) is the number of probe
-	// intervals in which a suspect may refute.
+	// intervals in which a suspect may refute the suspicion.
 	SuspicionFactor float64
 	// GossipInterval is the time between two gossip rounds.
 	GossipInterval time.Duration
@@ -169,10 +169,11 @@
 	BytesPerSecond float64
 	// MaxPacketBytes limits one datagram.
 	MaxPacketBytes int
-	// PiggybackBytes limits a probe or its answer with the updates it carries.
+	// PiggybackBytes limits the size of a probe or an answer to one, including the
+	// updates that it carries.
 	PiggybackBytes int
-	// RetransmitFactor times log10(members in the audience + 1) is how often a
-	// member sends an update.
+	// RetransmitFactor times log10(members in the audience + 1) is how many times
+	// a member sends an update.
 	RetransmitFactor float64
 	// SyncInterval is the least time between two full exchanges that one
 	// member starts.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// checkProbes sends indirect probes for direct ones without an answer and suspects
-// the targets of those past their deadline.
+// checkProbes sends indirect probes for probes that were not answered within the probe
+// timeout, and suspects the targets of probes whose deadline has passed.
 func (c *Core) checkProbes(now time.Time) []Datagram {
 	out := []Datagram{}
 	for sequence, pending := range c.probes {
@@ -88,7 +88,7 @@
 
 // startupTimeoutFactor multiplies the probe timeouts of a member that has just started.
 // Members answer late while they exchange their lists, and each false suspicion and
-// its refutation are updates to the whole fleet.
+// its refutation are gossiped to all members.
 const startupTimeoutFactor = 3
 
 // startProbe pings the next member of a shuffled ring.
@@ -152,8 +152,8 @@
 	c.ringIndex = 0
 }
 
-// reconnect pings one dead member and one or more seeds that are no live member's
-// address, so that partitioned groups merge.
+// reconnect pings one dead member and one or more unknown seeds, so that partitioned
+// groups merge.
 func (c *Core) reconnect(now time.Time) []Datagram {
 	addresses := []string{}
 	if dead, found := c.randomDead(); found {
@@ -172,8 +172,8 @@
 	return out
 }
 
-// randomSeeds picks random seeds that are no live member's address: one, or up to
-// joinSeeds while this member joins.
+// randomSeeds picks random unknown seeds: one, or up to joinSeeds while this member
+// joins.
 func (c *Core) randomSeeds(now time.Time) []string {
 	unknown := c.unknownSeeds()
 	c.random.Shuffle(len(unknown), func(a, b int) { unknown[a], unknown[b] = unknown[b], unknown[a] })
@@ -184,7 +184,7 @@
 	return unknown[:min(count, len(unknown))]
 }
 
-// unknownSeeds returns the seeds that are no live member's address.
+// unknownSeeds returns the seeds that are not the address of a live member.
 func (c *Core) unknownSeeds() []string {
 	live := make(map[string]bool, c.liveCount)
 	for _, member := range c.members {
--- a/internal/supervisor/engineloop.go
+++ b/internal/supervisor/engineloop.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// publishLoad publishes the load at most once per load interval: if it changed, or if
-// the last was published four intervals ago.
+// publishLoad publishes the load at most once per load interval, and an unchanged load
+// every four intervals.
 func (l *engineLoop) publishLoad(load registry.LoadRecord) {
 	interval := LoadInterval(len(l.supervisor.registry.Engines()))
 	isFresh := load == l.lastLoad && time.Since(l.lastLoadAt) < 4*interval
--- a/internal/supervisor/waves.go
+++ b/internal/supervisor/waves.go
@@ -73,7 +73,7 @@
 
 // recordIfDue reports whether a wave has to be published: if it differs from the
 // stored one, or if it has engines and was last published waveRefreshInterval ago. A
-// wave that differs or is due for a refresh is stored as published now.
+// wave that differs or whose refresh is due is stored with the current time.
 func (w *waves) recordIfDue(service string, record waveRecord) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/spec/order.pml
+++ b/spec/order.pml
@@ -3,7 +3,7 @@
  * is paused and still sends the order of an older revision. Orders may arrive
  * twice and late. The engine forgets everything when it crashes.
  *
- * Invariant, named as in internal/emulator/fence_test.go:
+ * Invariant; TestFenceNeverDecreases in internal/emulator checks it on the engine:
  *   FenceNeverFalls   in one life of the engine the revision that it loads
  *                     never falls
  *
--- a/spec/ratelimit-cut.pml
+++ b/spec/ratelimit-cut.pml
@@ -19,10 +19,10 @@
  */
 #define WHOLE 8
 #define REACHED 6     /* three quarters of it */
-#define STAND_IN 2    /* standInShare: a quarter */
+#define STAND_IN 2    /* a quarter; backupShare is less: a fifth */
 #define VIEWED 4      /* half: what a keeper grants that still sees most daemons */
-#define NOTICE 6      /* noticeTime */
-#define REST 6        /* keeperRest and reconnectTime */
+#define NOTICE 6      /* 3 s; detectionTime is 4 s */
+#define REST 6        /* missingGrace */
 #define WINDOW 10
 #define LAST 24
 #define ALLOWED (WHOLE * WINDOW + STAND_IN * NOTICE)
--- a/test/mutants.d/backends.sh
+++ b/test/mutants.d/backends.sh
@@ -1,4 +1,4 @@
-# What back ends say of themselves: load reports, entries, lives.
+# Mutants of load reports, entries and incarnations of backends; mutants.sh sources this.
 mutant fourth_figure_voids_the_report platform/load.go \
 	'if len(parts) < loadFields {' 'if len(parts) != loadFields {' platform TestParseLoad
 mutant absurd_figures_believed platform/load.go \
--- a/test/mutants.d/batchroom.sh
+++ b/test/mutants.d/batchroom.sh
@@ -1,4 +1,4 @@
-# Mutants of the room for batch items beside online requests; mutants.sh sources this.
+# Mutants of the batch capacity beside online requests; mutants.sh sources this.
 
 mutant batch_reserve internal/batchcapacity/capacity.go \
 	'Deferrable: observed.Load.freeSlots(reserve), Reserve' 'Deferrable: observed.Load.freeSlots(0), Reserve' internal/batchcapacity TestReservePolicyKeepsSlotsFree
--- a/test/mutants.d/limits.sh
+++ b/test/mutants.d/limits.sh
@@ -1,4 +1,4 @@
-# Limits of tenants around a cut of the fleet.
+# Mutants of the limits of tenants during network partitions; mutants.sh sources this.
 mutant keepers_change_with_each_view internal/ratelimit/ranking.go \
 	'all := slices.Concat(seen.Daemons, seen.Missing)' 'all := slices.Clone(seen.Daemons)' internal/ratelimit TestNoWindowExceedsLimitAroundPartition
 mutant missed_daemons_lose_their_places internal/ratelimit/recent.go \
--- a/test/mutants.d/memory.sh
+++ b/test/mutants.d/memory.sh
@@ -1,4 +1,4 @@
-# Callers who read slowly, and the account of what is held for callers.
+# Mutants of slow readers and of the account of memory for callers; mutants.sh sources this.
 mutant slow_caller_holds_a_place internal/serving/relay.go \
 	'	answer.Detach()
 	lease.Release()' '' platform TestUnreadAnswerHoldsNoSlot
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -1,4 +1,4 @@
-# Mutants of what waits: submissions while the store is away, and attempts that fall silent.
+# Mutants of buffered submissions, quota and response timeouts; mutants.sh sources this.
 mutant stale_commit internal/quota/ledger.go \
 	'isFresh = !isFresh' 'isFresh = false' internal/quota TestReservationsCommitSoonAfterOutage
 mutant waiting_keeper_passed_by internal/quota/accounts.go \
--- a/test/mutants.d/sections.sh
+++ b/test/mutants.d/sections.sh
@@ -1,4 +1,4 @@
-# Mechanisms by which a daemon of a large fleet knows, hears and tells a part.
+# Mutants of the exchange of state, complete or in sections, in large fleets; mutants.sh sources this.
 mutant whole_table_outgrown internal/table/resize.go \
 	'return rows > maxFullTableRows' 'return false' internal/table TestSectionFollowsTableSize
 mutant part_told_as_the_whole internal/table/replica.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -1,4 +1,4 @@
-# Mechanisms of the order of waiting.
+# Mutants of the order in which waiting requests get slots; mutants.sh sources this.
 mutant waiting_late_asks_as_before internal/slotqueue/slotqueue.go \
 	'if !request.IsOverdue() || fleet.FreedSlots <= 0 {' 'if true {' internal/slotqueue TestOverloadServesOnTimeRequests
 mutant waiting_no_late_share internal/slotqueue/slotqueue.go \
--- a/test/mutants.d/zones.sh
+++ b/test/mutants.d/zones.sh
@@ -1,4 +1,4 @@
-# Mechanisms of evacuated zones and of cold back ends.
+# Mutants of evacuated zones and of cold backends; mutants.sh sources this.
 mutant evacuation_ignored_at_the_send internal/backend/admission.go \
 	'return known.Draining || s.admission.evacuated[known.Zone] ||' 'return known.Draining ||' internal/backend TestEvacuatedZoneGetsNoNewWork
 mutant evacuated_places_used internal/backend/lease.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -1,15 +1,14 @@
 #!/bin/sh
-# Takes one mechanism away at a time, in a scratch copy, and expects the named
-# test to fail. A test that still passes, or a mechanism that is not found any
-# more, is a failure of this script. The mutants stand here and, by part of the
-# system, in test/mutants.d.
+# Removes one mechanism at a time, in a scratch copy, and expects the named
+# test to fail. A test that still passes, or a mechanism that is no longer
+# found, is a failure of this script. The mutants are in this file and, by part of
+# the system, in test/mutants.d.
 #
-#   sh test/mutants.sh            all of them, in several lanes beside each other
+#   sh test/mutants.sh            all of them, in several lanes in parallel
 #   sh test/mutants.sh LANE       those of one lane, from 0 on
 set -eu
 cd "$(dirname "$0")/.."
-# lanes is how many scratch copies are tested at once. The script spends most of its
-# time in one compiler or one test at a time.
+# lanes is how many scratch copies are tested at once.
 lanes=4
 
 if [ $# = 0 ]; then
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Takes one mechanism away at a time, in a scratch copy, and expects the fault
-# soak to notice within a few minutes of fresh seeds. Not part of the tests: it
-# takes minutes, and seeds are drawn anew. Names behind the seconds choose mutants:
+# Removes one mechanism at a time, in a scratch copy, and expects the soak run to
+# detect it within the given seconds per mutant. Not part of the tests: it takes minutes
+# and uses new random seeds. Names after the seconds select mutants:
 #   test/soak-mutants.sh 240 other_body other_id
 set -eu
 cd "$(dirname "$0")/.."
@@ -19,10 +19,10 @@
 		{ echo "soak_mutant file=$1 verdict=NO_PLACE text=$2" && exit 1; }
 }
 
-# restore takes the mutant back.
+# restore restores the original files.
 restore() { git ls-files -co --exclude-standard | tar -cf - -T - | tar -xf - -C "$work"; }
 
-# soak NAME plays fresh seeds until one breaks a promise or the limit is over.
+# soak NAME plays new seeds until one violates a guarantee or limit seconds have passed.
 soak() {
 	case " $chosen " in "  " | *" $1 "*) ;; *) restore && return ;; esac
 	verdict=SURVIVED
@@ -68,7 +68,8 @@
 replace internal/job/cancel.go 'context.WithTimeout(s.lifetime, endTime)' 'context.WithTimeout(ctx, endTime)'
 soak end_forgotten_with_its_caller
 
-# What reaches a back end is what a caller sent.
+# The following mutants change what a backend receives of a request, or reuse its
+# connection too early.
 replace platform/sender.go 'httphead.NewRequest(attempt.Method, attempt.Target,' 'httphead.NewRequest(attempt.Method, attempt.Target+"?x=1",'
 soak other_target
 
