--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -117,7 +117,7 @@
 // readAddresses adds the addresses of other daemons to the seeds. All addresses of a large
 // fleet are read only if there are tenants, whose limits are shared by all daemons.
 func (f *Frontend) readAddresses(ctx context.Context) {
-	rows, isWhole, err := f.addresses(ctx)
+	rows, isComplete, err := f.addresses(ctx)
 	if err != nil {
 		f.log.Info("addresses_not_read", "error", err)
 		return
@@ -131,14 +131,14 @@
 		}
 	}
 	f.node.SetSeeds(seeds)
-	if isWhole {
+	if isComplete {
 		f.limitFleet.SetRegistered(registered)
 	}
 }
 
 // addresses reads the addresses after the daemon's own name, then those before it, and reports
 // whether it read all of them.
-func (f *Frontend) addresses(ctx context.Context) (rows []table.Row, isWhole bool, err error) {
+func (f *Frontend) addresses(ctx context.Context) (rows []table.Row, isComplete bool, err error) {
 	for _, part := range []table.Range{{From: f.settings.Name}, {Before: f.settings.Name}} {
 		for more := true; more; {
 			part.Table, part.Limit = tableMembers, memberRows
--- a/internal/frontend/section.go
+++ b/internal/frontend/section.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Place implements table.SectionPlan.
+// Position implements table.SectionPlan.
 func (p *sectionPlan) Position() float64 { return p.position }
 
 // IsEnough implements table.SectionPlan.
@@ -106,7 +106,7 @@
 }
 
 // isShortOf reports whether too few backends of a service are known: fewer than half of the
-// wanted number, or too few free slots.
+// wanted number, or too few free slots. In the latter case it raises the wanted number.
 func (p *sectionPlan) isShortOf(service string, now time.Time) bool {
 	load := p.backends.ServiceLoad(service, now)
 	isOverloaded := float64(load.Online+load.Batch) > overloadShare*float64(load.Slots)
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -366,7 +366,7 @@
 mutant beginning_taken_for_whole internal/httphead/body.go \
 	'len(body) > limit' 'false' platform TestTooLongAnswerFails
 mutant chunks_for_old_callers platform/ingress.go \
-	'respond.isHTTP10 = !c.header.Header.IsHTTP11()' 'respond.isHTTP10 = false' platform TestHTTP10CallerGetsNoChunks
+	'respond.isHTTP10 = !c.request.Header.IsHTTP11()' 'respond.isHTTP10 = false' platform TestHTTP10CallerGetsNoChunks
 mutant cut_forward_looks_whole internal/gateway/stream.go \
 	'resetConnection(connection)' '' internal/gateway TestTruncatedForwardedAnswerIsIncomplete
 mutant stream_has_one_write_timeout internal/gateway/stream.go \
--- a/test/soak-mutants.sh
+++ b/test/soak-mutants.sh
@@ -81,6 +81,6 @@
 replace platform/sender.go 'request.Field(headerRequestID, attempt.ID)' 'request.Field(headerRequestID, attempt.ID+"-x")'
 soak other_id
 
-replace platform/answer.go 'return false // answered before the whole request was read' 'return true'
+replace platform/answer.go 'return false // answered before the complete request was read' 'return true'
 soak reused_early
 exit $failed
