--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -19,7 +19,7 @@
 type Clock func() Instant
 
 // Mark is a time by both this clock and the monotonic clock of package time. They
-// diverge only by sleep. The zero value is no time.
+// diverge only by sleep. The zero value means no time.
 type Mark struct {
 	monotonic time.Time
 	at        Instant
--- a/internal/boottime/deadline.go
+++ b/internal/boottime/deadline.go
@@ -8,7 +8,7 @@
 
 // WithDeadline returns a context that ends at the deadline minus the time that the
 // machine has slept since a mark. Timers of package context stop during sleep, so a
-// plain context would outlive its caller. A sleep is detected within checkInterval
+// plain context would end too late. A sleep is detected within checkInterval
 // after it. With the nil Wakeups, sleep is ignored.
 func (w *Wakeups) WithDeadline(parent context.Context, deadline time.Time, since Mark) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithDeadline(parent, deadline)
--- a/internal/job/accept.go
+++ b/internal/job/accept.go
@@ -24,12 +24,12 @@
 		if known, isOpen := s.openTenant(submitted.ID); isOpen {
 			return s.acknowledgeExisting(submitted, known)
 		}
-		wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)
+		wasBuffered, err := s.bufferWhileUnavailable(ctx, submitted)
 		if err != nil {
 			s.logAcceptance(submitted, "refused", err)
 			return err
 		}
-		err = s.submitOnce(ctx, submitted, wasTried || wasHeld)
+		err = s.submitOnce(ctx, submitted, wasTried || wasBuffered)
 		if !isBufferable(ctx, err) || !s.isStoreUnavailable() {
 			return err
 		}
--- a/internal/job/accounts.go
+++ b/internal/job/accounts.go
@@ -24,7 +24,7 @@
 	unlimitedPause = time.Second
 )
 
-// account is where the waiting tokens of a job are counted, with its limit.
+// account is where the queued tokens of a job are counted, with its limit.
 type account struct {
 	name  string
 	limit quota.Limit
@@ -164,7 +164,7 @@
 	})
 }
 
-// hasTokenLimit reports whether any route limits its waiting tokens.
+// hasTokenLimit reports whether any route limits its queued tokens.
 func (s *Service) hasTokenLimit() bool {
 	current := s.holder.Current()
 	if current == nil {
@@ -196,7 +196,7 @@
 		if !isBounded {
 			continue
 		}
-		waiting := each.waitingTokens()
+		waiting := each.queuedTokens()
 		if each.isSettlementDue(found, waiting, s.quota.IsNearLimit(found.name), now) {
 			operation := quota.Operation{Kind: quota.KindSettle, Job: each.job.ID, Tokens: waiting, Holder: s.self.Name, Epoch: each.claim.claim.Epoch}
 			due[found.name] = append(due[found.name], dueSettlement{limit: found.limit, operation: operation, owned: each})
@@ -205,8 +205,8 @@
 	return due
 }
 
-// waitingTokens returns the size of the unfinished items.
-func (o *ownedJob) waitingTokens() int64 {
+// queuedTokens returns the size of the unfinished items in tokens.
+func (o *ownedJob) queuedTokens() int64 {
 	total := int64(0)
 	for _, each := range o.unfinished() {
 		total += int64(each.item.Tokens)
@@ -214,8 +214,8 @@
 	return total
 }
 
-// isSettlementDue reports whether the job's waiting tokens should be sent to its account now.
-// A job that was taken over is counted there already, with at least its waiting tokens.
+// isSettlementDue reports whether the job's queued tokens should be sent to its account now.
+// A job that was taken over is counted there already, with at least its queued tokens.
 func (o *ownedJob) isSettlementDue(found account, waiting int64, isNearLimit bool, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/job/attempt.go
+++ b/internal/job/attempt.go
@@ -120,7 +120,7 @@
 	ran := ended.owner.ranFor(ended, time.Now())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.clock.add(ran)
+	s.itemTimes.add(ran)
 }
 
 // handleFailure abandons an item or queues it again after a failed attempt.
--- a/internal/job/batchcapacity.go
+++ b/internal/job/batchcapacity.go
@@ -10,15 +10,15 @@
 )
 
 // observeDemand samples the load of the services that run items until the context ends,
-// also while no job is owned: a period shows only after two of its turns.
+// also while no job is owned: a period is detected only after it has recurred.
 func (s *Service) observeDemand(ctx context.Context) {
-	if s.capacities.policy == batchcapacity.PolicyFree {
+	if s.capacityTracker.policy == batchcapacity.PolicyFree {
 		return
 	}
 	periodic.Run(ctx, batchcapacity.SampleInterval, func() {
 		now := time.Now()
 		for _, service := range s.itemServices() {
-			before, after := s.capacities.recordLoad(service, s.backends.ServiceLoad(service, now), now)
+			before, after := s.capacityTracker.recordLoad(service, s.backends.ServiceLoad(service, now), now)
 			if (before == 0) != (after == 0) {
 				s.log.Info("demand_rhythm", "service", service, "period_ms", after.Milliseconds(), "period_before_ms", before.Milliseconds())
 			}
@@ -37,7 +37,7 @@
 		return true
 	}
 	load := s.backends.ServiceLoad(instance.Service, now)
-	if s.capacities.mustPreempt(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
+	if s.capacityTracker.mustPreempt(instance.Service, load, s.backends.OwnBatch(instance.Service), s.propagationWindow(), now) {
 		return true
 	}
 	s.metrics.BatchRoom.WithLabelValues("stays").Inc()
@@ -56,7 +56,7 @@
 	if !found || configured.ReservationTime <= 0 {
 		return batchcapacity.PolicyFree
 	}
-	return s.capacities.policy
+	return s.capacityTracker.policy
 }
 
 // hasFreeSlots reports whether online requests find slots at a service. Work beyond the slots
@@ -65,7 +65,7 @@
 	if s.capacityPolicy(service) == batchcapacity.PolicyFree {
 		return false
 	}
-	return s.capacities.hasFreeSlots(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
+	return s.capacityTracker.hasFreeSlots(service, s.backends.ServiceLoad(service, now), s.propagationWindow())
 }
 
 // itemServices lists the services that run items.
@@ -92,11 +92,11 @@
 func (s *Service) batchCapacity(service string, now time.Time) batchcapacity.Capacity {
 	load := s.backends.ServiceLoad(service, now)
 	itemTime, policy := s.itemTime(), s.capacityPolicy(service)
-	capacity := s.capacities.decide(policy, service, load, itemTime, s.propagationWindow())
+	capacity := s.capacityTracker.decide(policy, service, load, itemTime, s.propagationWindow())
 	capacity = dropLooseBounds(capacity, policy, load.Slots-load.Online-load.Batch)
 	waiting := s.placer.allWaiting
 	s.metrics.BatchRoom.WithLabelValues(capacityLabel(capacity, waiting)).Inc()
-	if waiting > capacity.Deferrable && s.capacities.mayLog(service, now) {
+	if waiting > capacity.Deferrable && s.capacityTracker.mayLog(service, now) {
 		s.log.Info("batch_room", "service", service, "policy", string(policy), "slots", load.Slots, "online", load.Online, "batch", load.Batch,
 			"room", capacity.Deferrable, "reserve", capacity.Reserve, "period_ms", capacity.Period.Milliseconds(), "item_ms", itemTime.Milliseconds(),
 			"waiting", waiting, "own_waiting", s.placer.ownWaiting)
@@ -134,7 +134,7 @@
 func (s *Service) itemTime() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.clock.expected()
+	return s.itemTimes.expected()
 }
 
 // mustRun reports whether an item can't wait until a burst of online requests has passed.
--- a/internal/job/buffering_test.go
+++ b/internal/job/buffering_test.go
@@ -69,12 +69,12 @@
 	for number := range 12 {
 		daemons = append(daemons, startWithTokenLimit(t, fmt.Sprint("d", number), store, fake, 0, 1000))
 	}
-	away := startOutage(store)
+	storeOutage := startOutage(store)
 	awaitUnavailable(t, daemons...)
 	group := submitAll(t, daemons, "j")
 	time.Sleep(2 * time.Second)
-	require.Zero(t, away.commits.Load(), "buffered submissions were committed")
-	away.end()
+	require.Zero(t, storeOutage.commits.Load(), "buffered submissions were committed")
+	storeOutage.end()
 	returned := time.Now()
 	group.Wait()
 	require.Less(t, time.Since(returned), 2*time.Second)
@@ -85,7 +85,7 @@
 func TestBufferedSubmissionEndsWithCaller(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	owner := startDaemon(t, "a", store, fake)
-	away := startOutage(store)
+	storeOutage := startOutage(store)
 	awaitUnavailable(t, owner)
 	ctx, leave := context.WithCancel(t.Context())
 	answered := make(chan error, 1)
@@ -94,7 +94,7 @@
 	leave()
 	require.True(t, failure.From(<-answered).NotRun)
 	require.Zero(t, owner.Buffered())
-	away.end()
+	storeOutage.end()
 	require.Eventually(t, func() bool { return !owner.IsStoreUnavailable() }, testTimeout, pollInterval)
 	_, err := owner.Results(t.Context(), "j1", 0, 0)
 	require.True(t, failure.Is(err, failure.KindNotFound), "%v", err)
@@ -150,9 +150,8 @@
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 }
 
-// TestBufferedUnsettledAcceptanceIsNotReportedNotRun: the reply to the acceptance is lost and
-// the store becomes unavailable. The caller times out while the submission is buffered; the
-// failure must not say that the job did not run.
+// TestBufferedUnsettledAcceptanceIsNotReportedNotRun: a submission that times out in the buffer
+// after an unsettled acceptance attempt must not be reported as not run.
 func TestBufferedUnsettledAcceptanceIsNotReportedNotRun(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	owner := startDaemon(t, "a", store, fake)
--- a/internal/job/cancel.go
+++ b/internal/job/cancel.go
@@ -44,7 +44,7 @@
 type cancellations struct {
 	mutex      sync.Mutex
 	inProgress map[cancelKey]*cancellation
-	// blocked counts, by job, the cancellations in progress that the tenant may make.
+	// blocked counts, by job, the cancellations in progress by tenants that may access it.
 	// While the count is positive, this daemon sends no items of the job.
 	blocked map[string]int
 }
@@ -116,7 +116,7 @@
 }
 
 // Cancel cancels a job: it removes the job's claim, and the owner stops the job as soon
-// as it learns of the removal. Cancelling a job that is finished or already cancelled
+// as it detects the removal. Cancelling a job that is finished or already cancelled
 // succeeds.
 //
 // The cancellation runs for up to cancelTimeout even if the caller leaves earlier. If
@@ -279,9 +279,9 @@
 func newCancelBackoff() cancelBackoff { return cancelBackoff{next: retryPause} }
 
 // sleep waits for the pause. It returns false if ctx ends first.
-func (p *cancelBackoff) sleep(ctx context.Context) bool {
-	pause := p.next
-	p.next = min(2*pause, maxCancelPause)
+func (b *cancelBackoff) sleep(ctx context.Context) bool {
+	pause := b.next
+	b.next = min(2*pause, maxCancelPause)
 	return periodic.SleepAbout(ctx, pause)
 }
 
--- a/internal/job/cancel_before_accept_test.go
+++ b/internal/job/cancel_before_accept_test.go
@@ -29,9 +29,8 @@
 	store.SetDecide(nil)
 }
 
-// TestCancelBeforeAcceptancePreventsRun: a job is canceled at another daemon before its
-// acceptance commit takes effect. Its items must not be sent. A later submission of the same
-// job is accepted.
+// TestCancelBeforeAcceptancePreventsRun: no item of a job is sent if the job is cancelled before
+// its acceptance commit takes effect. A later submission of the same job is accepted.
 func TestCancelBeforeAcceptancePreventsRun(t *testing.T) {
 	for name, tenant := range map[string]string{"without a tenant": "", "of a tenant": "acme"} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +43,7 @@
 			require.True(t, failure.Is(other.Of(tenant).Cancel(t.Context(), "j1"), failure.KindNotFound))
 			store.Settle()
 			time.Sleep(time.Second)
-			require.Zero(t, fake.total(), "items of the canceled job were sent")
+			require.Zero(t, fake.total(), "items of the cancelled job were sent")
 			require.Zero(t, owner.Owned())
 			// A submission after the answer 404 is a new one.
 			require.NoError(t, owner.Submit(t.Context(), submitted))
@@ -90,7 +89,7 @@
 }
 
 // TestCancelAppliesToAcceptanceCommittedFirst: the acceptance is committed before the
-// cancellation voids it: the job is canceled as an open job.
+// cancellation voids it: the job is cancelled as an open job.
 func TestCancelAppliesToAcceptanceCommittedFirst(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
--- a/internal/job/cancel_buffered_test.go
+++ b/internal/job/cancel_buffered_test.go
@@ -54,9 +54,8 @@
 	return s.Store.Watch(ctx, name, after, wait)
 }
 
-// TestCanceledBufferedSubmissionDoesNotRun: a job is canceled at one daemon while another one
-// that cannot reach the store buffers its submission, before or after a first attempt. The
-// job must not run.
+// TestCanceledBufferedSubmissionDoesNotRun: a job that is cancelled at one daemon must not run if
+// another daemon buffers its submission, before or after a first attempt.
 func TestCanceledBufferedSubmissionDoesNotRun(t *testing.T) {
 	for name, isUnavailableFirst := range map[string]bool{"buffered at once": true, "tried, then buffered": false} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +76,7 @@
 				answered <- owner.Submit(bounded, newJob("j1", items))
 			}()
 			require.Eventually(t, func() bool { return owner.Buffered() == 1 }, testTimeout, pollInterval)
-			require.Error(t, other.Cancel(t.Context(), "j1"), "an unknown job was canceled")
+			require.Error(t, other.Cancel(t.Context(), "j1"), "an unknown job was cancelled")
 			disconnected.isDisconnected.Store(false)
 			require.Error(t, <-answered)
 			time.Sleep(500 * time.Millisecond)
--- a/internal/job/cancel_forwarding_test.go
+++ b/internal/job/cancel_forwarding_test.go
@@ -44,9 +44,8 @@
 	}
 }
 
-// TestOwnerContinuesCancelAfterReceiverStops: the daemon that received a cancel request stops
-// while the store throttles commits. The owner must complete the cancellation and send no
-// items.
+// TestOwnerContinuesCancelAfterReceiverStops: the owner completes a cancellation, and sends no
+// items, if the daemon that received the call stops while the store throttles commits.
 func TestOwnerContinuesCancelAfterReceiverStops(t *testing.T) {
 	for name, tenant := range map[string]string{"by a caller without a tenant": "", "by a tenant": "acme"} {
 		t.Run(name, func(t *testing.T) {
@@ -66,8 +65,8 @@
 			store.SetDecide(nil)
 			owner.backends.Put(backendWithSlots(100))
 			time.Sleep(cancelTime)
-			assert.Zero(t, fake.total(), "items of the canceled job were sent")
-			require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+			assert.Zero(t, fake.total(), "items of the cancelled job were sent")
+			require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not cancelled")
 			require.Zero(t, fake.total())
 		})
 	}
@@ -92,9 +91,9 @@
 	requireFollowed(t, store, receiver, next)
 	cancelWithoutWaiting(t, receiver, "", "j1")
 	owner.kill(t)
-	next.peers.kill("a")
+	next.peers.markGone("a")
 	require.Eventually(t, func() bool { return next.Owned() == 1 }, testTimeout, pollInterval, "the job was not taken over")
-	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not cancelled")
 }
 
 // TestReceiverContinuesCancelAfterOwnerStops: the receiver completes a cancellation when the
@@ -111,7 +110,7 @@
 	time.Sleep(watchWait)
 	owner.kill(t)
 	store.SetDecide(nil)
-	require.Eventually(t, func() bool { return !receiver.KnowsOpen("j1") }, testTimeout, pollInterval, "the job was not canceled")
+	require.Eventually(t, func() bool { return !receiver.KnowsOpen("j1") }, testTimeout, pollInterval, "the job was not cancelled")
 }
 
 // TestCancelAtOwnerContinuesAfterOwnerStops: the owner receives a cancel request and stops.
@@ -130,11 +129,11 @@
 	cancelWithoutWaiting(t, owner, "", "j1")
 	time.Sleep(watchWait) // the cancel request is received and throttled
 	owner.kill(t)
-	next.peers.kill("a")
+	next.peers.markGone("a")
 	store.SetDecide(nil)
 	time.Sleep(cancelTime)
-	assert.Zero(t, fake.total(), "items of the canceled job were sent")
-	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+	assert.Zero(t, fake.total(), "items of the cancelled job were sent")
+	require.Eventually(t, func() bool { return !next.KnowsOpen("j1") && next.Owned() == 0 }, testTimeout, pollInterval, "the job was not cancelled")
 }
 
 // TestCancelRequestOfOtherTenantIsIgnored: both the receiver and the owner ignore a cancel
@@ -216,5 +215,5 @@
 	cancelWithoutWaiting(t, receiver, "", "j1")
 	time.Sleep(watchWait)
 	receiver.kill(t)
-	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not cancelled")
 }
--- a/internal/job/cancel_test.go
+++ b/internal/job/cancel_test.go
@@ -47,7 +47,7 @@
 			})
 			call(t, func(ctx context.Context) error { return other.Cancel(ctx, "j1") })
 			store.SetDecide(nil)
-			require.Eventually(t, func() bool { return owner.Owned() == 0 }, 2*cancelTime, pollInterval, "the job was not canceled")
+			require.Eventually(t, func() bool { return owner.Owned() == 0 }, 2*cancelTime, pollInterval, "the job was not cancelled")
 		})
 	}
 }
@@ -58,11 +58,11 @@
 	isStalled atomic.Bool
 }
 
-func (m *stalledStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
-	if m.isStalled.Load() {
+func (s *stalledStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+	if s.isStalled.Load() {
 		return blockWatch(ctx)
 	}
-	return m.Store.Watch(ctx, name, after, wait)
+	return s.Store.Watch(ctx, name, after, wait)
 }
 
 // watchWait exceeds the time that a watch call of the followers waits.
@@ -73,8 +73,8 @@
 	return backend.Instance{ID: "one", Service: service, Slots: slots}
 }
 
-// TestStaleClaimsBlockNewItems: an owner whose watch stalls does not see that its job was
-// canceled elsewhere. It must send no items while its copy of the claims is stale.
+// TestStaleClaimsBlockNewItems: an owner whose watch stalls is not notified that its job was
+// cancelled elsewhere. It must send no items while its copy of the claims is stale.
 func TestStaleClaimsBlockNewItems(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = time.Minute
@@ -89,7 +89,7 @@
 	before := fake.total()
 	owner.backends.Put(backendWithSlots(200))
 	time.Sleep(time.Second)
-	require.Equal(t, before, fake.total(), "items of a canceled job were sent")
+	require.Equal(t, before, fake.total(), "items of a cancelled job were sent")
 	stalled.isStalled.Store(false)
 	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval)
 }
@@ -115,17 +115,16 @@
 // countingSender counts send calls.
 type countingSender struct {
 	serving.Sender
-	asked atomic.Int64
+	sends atomic.Int64
 }
 
 func (c *countingSender) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
-	c.asked.Add(1)
+	c.sends.Add(1)
 	return c.Sender.Send(ctx, attempt)
 }
 
-// TestItemsOfJobBeingCanceledAreNotDispatched: items of a job whose cancellation is pending
-// at its owner must not be dispatched: each would use a slot and be refused a permit, again
-// and again.
+// TestItemsOfJobBeingCanceledAreNotDispatched: items of a job whose cancellation is pending at its
+// owner must not be dispatched: each would use a slot and be refused a permit.
 func TestItemsOfJobBeingCanceledAreNotDispatched(t *testing.T) {
 	for name, tenant := range map[string]string{"by a caller without a tenant": "", "by a tenant": "acme"} {
 		t.Run(name, func(t *testing.T) {
@@ -146,15 +145,14 @@
 			time.Sleep(watchWait) // lets a dispatch round that has begun complete
 			owner.backends.Put(backendWithSlots(100))
 			time.Sleep(time.Second)
-			assert.Zero(t, sender.asked.Load(), "items were dispatched")
+			assert.Zero(t, sender.sends.Load(), "items were dispatched")
 			assert.Zero(t, fake.total(), "items were sent")
 		})
 	}
 }
 
-// TestClaimRemovedNotificationStopsOwner: the owner drops the job on a notification of its
-// claim version, not of an older one, although its watch stalls. Only the daemon that removed
-// the claim sends the notification.
+// TestClaimRemovedNotificationStopsOwner: an owner whose watch stalls drops its job when notified
+// of the removal of its claim, not of an older one. A repeated cancellation sends no notification.
 func TestClaimRemovedNotificationStopsOwner(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = time.Minute
--- a/internal/job/cancelrequest.go
+++ b/internal/job/cancelrequest.go
@@ -21,9 +21,9 @@
 }
 
 // notifyOwner sends a cancel request to the job's owner if the tenant may cancel the
-// job. If this daemon is the owner or does not know the job, it sends the request to
-// the successor: the daemon that would take over, or that may know a job accepted just
-// now. It is called again after each failed attempt, because the owner may have been
+// job. If this daemon is the owner or has no claim of the job, it sends the request to
+// the successor: the daemon that would take over, or that may have the claim of a job accepted
+// just now. It is called again after each failed attempt, because the owner may have been
 // unreachable or may have changed.
 func (s *Service) notifyOwner(ctx context.Context, key cancelKey) {
 	held, isOpen := s.openClaim(key.job)
--- a/internal/job/capacitytracker.go
+++ b/internal/job/capacitytracker.go
@@ -45,31 +45,31 @@
 }
 
 // service returns the state of a service. mutex must be held.
-func (r *capacityTracker) service(service string) *serviceCapacity {
-	known, exists := r.services[service]
+func (t *capacityTracker) service(service string) *serviceCapacity {
+	known, exists := t.services[service]
 	if !exists {
 		known = &serviceCapacity{}
-		r.services[service] = known
+		t.services[service] = known
 	}
 	return known
 }
 
 // recordLoad records the load of a service, and returns the period of its demand before and
 // after.
-func (r *capacityTracker) recordLoad(service string, load backend.ServiceLoad, now time.Time) (before, after time.Duration) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	demand := &r.service(service).demand
+func (t *capacityTracker) recordLoad(service string, load backend.ServiceLoad, now time.Time) (before, after time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	demand := &t.service(service).demand
 	before = demand.Period()
 	demand.Note(batchcapacity.Load(load), now)
 	return before, demand.Period()
 }
 
 // decide returns the capacity of a service for batch items.
-func (r *capacityTracker) decide(policy batchcapacity.Policy, service string, load backend.ServiceLoad, itemTime, age time.Duration) batchcapacity.Capacity {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.service(service)
+func (t *capacityTracker) decide(policy batchcapacity.Policy, service string, load backend.ServiceLoad, itemTime, age time.Duration) batchcapacity.Capacity {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	known := t.service(service)
 	return batchcapacity.Decide(policy, batchcapacity.Observation{
 		Load: batchcapacity.Load(load), Demand: &known.demand, ItemTime: itemTime, Age: age,
 	})
@@ -77,15 +77,15 @@
 
 // mustPreempt reports whether one of the owner's items is preempted for an online request
 // that found no slot. Each owner preempts its share of the excess once per window; age is
-// the window, in which owners learn of each other's actions.
-func (r *capacityTracker) mustPreempt(service string, load backend.ServiceLoad, own int, age time.Duration, now time.Time) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.service(service)
+// the window, in which reports of an action reach the other owners.
+func (t *capacityTracker) mustPreempt(service string, load backend.ServiceLoad, own int, age time.Duration, now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	known := t.service(service)
 	if now.Sub(known.windowStart) >= age {
 		excess := batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &known.demand, Age: age})
 		known.windowStart, known.preempted, known.declined = now, 0, 0
-		known.toPreempt = shareOf(excess, min(own, load.Batch), load.Batch, r.random)
+		known.toPreempt = shareOf(excess, min(own, load.Batch), load.Batch, t.random)
 	}
 	if known.preempted < known.toPreempt || known.declined >= maxDeclined {
 		known.preempted++
@@ -96,18 +96,18 @@
 }
 
 // hasFreeSlots reports whether the service has no excess of batch items.
-func (r *capacityTracker) hasFreeSlots(service string, load backend.ServiceLoad, age time.Duration) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &r.service(service).demand, Age: age}) == 0
+func (t *capacityTracker) hasFreeSlots(service string, load backend.ServiceLoad, age time.Duration) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return batchcapacity.ExcessItems(batchcapacity.Observation{Load: batchcapacity.Load(load), Demand: &t.service(service).demand, Age: age}) == 0
 }
 
 // mayLog reports whether the capacity of a service may be logged again, and counts it as
 // logged.
-func (r *capacityTracker) mayLog(service string, now time.Time) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.service(service)
+func (t *capacityTracker) mayLog(service string, now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	known := t.service(service)
 	if now.Sub(known.loggedAt) < capacityLogInterval {
 		return false
 	}
--- a/internal/job/claims.go
+++ b/internal/job/claims.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// takeoverDelay is how long a job's owner must be gone before the first daemon in rank
+	// takeoverDelay is how long a job's owner must be missing before the first daemon in rank
 	// takes over. Each further rank waits takeoverDelayPerRank longer, in case the daemons
 	// before it cannot take over.
 	takeoverDelay        = 300 * time.Millisecond
--- a/internal/job/dispatch.go
+++ b/internal/job/dispatch.go
@@ -16,11 +16,11 @@
 
 const (
 	dispatchInterval = 100 * time.Millisecond
-	// preemptInterval is longer than the time in which owners learn of each other's items, so
+	// preemptInterval is longer than the time in which reports reach the other owners, so
 	// that the same excess isn't preempted twice.
 	preemptInterval = 200 * time.Millisecond
 	// overloadPause is the minimum time between two checks of overloaded backends, in which
-	// other owners learn of preemptions.
+	// reports of preemptions reach other owners.
 	overloadPause = 10 * time.Millisecond
 	// preemptionPause is how long an owner sends no items after an online request needed the
 	// slot of one: slots that still count as free are most likely taken.
@@ -67,7 +67,7 @@
 // resetPreempt sets the time of the next check for preemption, if any job is owned.
 func (s *Service) resetPreempt(isIdle bool, preempt *time.Ticker) {
 	if !isIdle {
-		preempt.Reset(s.preempter.nextCheck())
+		preempt.Reset(s.preemptor.nextCheck())
 	}
 }
 
@@ -127,8 +127,8 @@
 	return count
 }
 
-// propagationWindow is the time in which owners may not know of each other's latest
-// decisions: the propagation time, and half of it as a margin for delays.
+// propagationWindow is the time after which a decision of one owner has been reported to all
+// others: the propagation time, and half of it as a margin for delays.
 func (s *Service) propagationWindow() time.Duration { return s.backends.Propagation() * 3 / 2 }
 
 // dispatch sends one item if a backend has a free slot, or abandons it if it is malformed or
@@ -242,7 +242,7 @@
 	ran := waiting.owner.ranFor(waiting, now)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.clock.isUrgent(ran, waiting.owner.due.Sub(now))
+	return s.itemTimes.isUrgent(ran, waiting.owner.due.Sub(now))
 }
 
 // preemptExcess preempts items at backends where online requests wait for their slots.
@@ -255,7 +255,7 @@
 	}
 	now := time.Now()
 	window := s.propagationWindow()
-	s.preempter.forget(now, window)
+	s.preemptor.forget(now, window)
 	running := map[string][]runningItem{}
 	for _, each := range jobs {
 		for _, item := range each.notPreempted() {
@@ -272,7 +272,7 @@
 }
 
 // preemptOne preempts one item at a backend where an online request found no slot. No items are
-// sent there until all owners know of the request, and none anywhere for preemptionPause.
+// sent there for one propagation window, and none anywhere for preemptionPause.
 func (s *Service) preemptOne(id string) {
 	now := time.Now()
 	s.mutex.Lock()
@@ -319,7 +319,7 @@
 
 // itemsToPreempt chooses which of the items at a backend are preempted.
 func (s *Service) itemsToPreempt(candidate routing.Candidate, items []runningItem, now time.Time, window time.Duration) []runningItem {
-	count := s.preempter.share(candidate, now, window)
+	count := s.preemptor.share(candidate, now, window)
 	sortForPreemption(items)
 	return items[:min(count, len(items))]
 }
@@ -338,7 +338,7 @@
 	for service := range services {
 		hasFreeSlots := s.hasFreeSlots(service, now)
 		for _, candidate := range s.backends.Candidates(service, nil, now) {
-			if len(running[candidate.ID]) > 0 && s.preempter.isExcessDue(candidate, hasFreeSlots, now) {
+			if len(running[candidate.ID]) > 0 && s.preemptor.isExcessDue(candidate, hasFreeSlots, now) {
 				loads = append(loads, candidate)
 			}
 		}
--- a/internal/job/excess_test.go
+++ b/internal/job/excess_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestOwnersPreemptTheirShareOnce: all owners together preempt the excess on average, however
-// often requests ask within the window.
+// many requests arrive within the window.
 func TestOwnersPreemptTheirShareOnce(t *testing.T) {
 	const owners, own, requests, rounds = 20, 7, maxDeclined, 200
 	load := backend.ServiceLoad{Backends: 90, Slots: 720, Online: 560, Batch: owners * own}
--- a/internal/job/export_test.go
+++ b/internal/job/export_test.go
@@ -18,7 +18,7 @@
 	return s.followed
 }
 
-// KnowsOpen reports whether the service knows the job as accepted and not finished.
+// KnowsOpen reports whether the job is known to be accepted and not finished.
 func (s *Service) KnowsOpen(id string) bool { return s.isOpen(id) }
 
 // PendingCancellations returns the number of pending cancellations.
--- a/internal/job/firstclaims_test.go
+++ b/internal/job/firstclaims_test.go
@@ -31,9 +31,8 @@
 	})
 }
 
-// TestCallWaitsForFirstClaims: a daemon that has just started waits shortly for the claims
-// before it answers that a job does not exist. If they do not come it answers within a second
-// that it is unavailable.
+// TestCallWaitsForFirstClaims: a daemon that has just started must not report a job as not found
+// before it has read the claims. Without claims it reports unavailable within a second.
 func TestCallWaitsForFirstClaims(t *testing.T) {
 	for name, each := range map[string]struct {
 		claimsAfter time.Duration
--- a/internal/job/fleet_test.go
+++ b/internal/job/fleet_test.go
@@ -56,45 +56,45 @@
 	return &fakeBackends{status: map[string]int{}, starts: map[string]int{}, resumed: map[string]int64{}, events: itemEvents}
 }
 
-func (r *fakeBackends) resumedAt(id string) int64 {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.resumed[id]
+func (f *fakeBackends) resumedAt(id string) int64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.resumed[id]
 }
 
-func (r *fakeBackends) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
+func (f *fakeBackends) Send(ctx context.Context, attempt serving.Attempt) (serving.Answer, error) {
 	if err := attempt.CheckSendable(ctx); err != nil {
 		return nil, err
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.starts[attempt.ID]++
-	r.resumed[attempt.ID] = max(r.resumed[attempt.ID], attempt.LastEvent)
-	sent := &itemAnswer{events: r.events, ctx: ctx, id: attempt.ID, next: attempt.LastEvent + 1, pause: r.pause, status: 200}
-	if status := r.status[attempt.ID]; status != 0 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.starts[attempt.ID]++
+	f.resumed[attempt.ID] = max(f.resumed[attempt.ID], attempt.LastEvent)
+	sent := &itemAnswer{events: f.events, ctx: ctx, id: attempt.ID, next: attempt.LastEvent + 1, pause: f.pause, status: 200}
+	if status := f.status[attempt.ID]; status != 0 {
 		sent.status = status
 	}
-	if rand.Float64() < r.breakShare {
+	if rand.Float64() < f.breakShare {
 		sent.breakAt = sent.next + 2
 	}
 	return sent, nil
 }
 
 // total returns the number of attempts of all items.
-func (r *fakeBackends) total() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+func (f *fakeBackends) total() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	count := 0
-	for _, each := range r.starts {
+	for _, each := range f.starts {
 		count += each
 	}
 	return count
 }
 
-func (r *fakeBackends) started(id string) int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.starts[id]
+func (f *fakeBackends) started(id string) int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.starts[id]
 }
 
 type itemAnswer struct {
@@ -215,7 +215,7 @@
 	p.reachable[other.name] = other
 }
 
-func (p *fakePeers) kill(name string) {
+func (p *fakePeers) markGone(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.gone[name] = true
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -97,7 +97,7 @@
 	SubmittedAt time.Time
 	// Due is the time from SubmittedAt by which the job should be finished.
 	Due time.Duration
-	// GiveUpAfter is the time from SubmittedAt after which items that are still queued are
+	// GiveUpAfter is the time from SubmittedAt after which items that are still waiting are
 	// abandoned. Zero means never.
 	GiveUpAfter time.Duration
 	Items       []Item
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestCanceledJobStops: no result is listed after the owner has dropped a canceled job.
+// TestCanceledJobStops: no result is listed after the owner has dropped a cancelled job.
 func TestCanceledJobStops(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = 20 * time.Millisecond
--- a/internal/job/large_item_test.go
+++ b/internal/job/large_item_test.go
@@ -23,6 +23,6 @@
 	require.NoError(t, err)
 	require.Equal(t, accepted.Items[0].Body, body)
 	owner.cancel()
-	successor.peers.kill("a")
+	successor.peers.markGone("a")
 	require.Eventually(t, func() bool { return fake.started("j1-item0") == 2 }, testTimeout, pollInterval)
 }
--- a/internal/job/malformed_test.go
+++ b/internal/job/malformed_test.go
@@ -34,7 +34,7 @@
 			}
 			require.Eventually(t, abandoned, testTimeout, pollInterval)
 			owner.cancel()
-			successor.peers.kill("a")
+			successor.peers.markGone("a")
 			require.Eventually(t, func() bool { return successor.Owned() == 1 && fake.started("j1-item2") == 2 }, testTimeout, pollInterval)
 			require.True(t, abandoned())
 			require.Zero(t, fake.started(item.ID))
--- a/internal/job/ownedjob.go
+++ b/internal/job/ownedjob.go
@@ -26,7 +26,7 @@
 	// fingerprint identifies the item's content independently of its id.
 	fingerprint quarantine.Fingerprint
 	state       itemState
-	// notBefore is the earliest time at which a queued item may be sent.
+	// notBefore is the earliest time at which a waiting item may be sent.
 	notBefore time.Time
 	// backend and startedAt describe the current run.
 	backend   string
@@ -154,7 +154,7 @@
 	dropFinished     dropReason = "finished"
 	dropCancelled    dropReason = "ended"
 	dropClaimRemoved dropReason = "claim_removed"
-	// dropReportedEnded means that the daemon that cancelled the job reported it.
+	// dropReportedCancelled means that the daemon that cancelled the job reported it.
 	dropReportedCancelled dropReason = "told_ended"
 	dropClaimLost         dropReason = "claim_lost"
 	// dropUnknownResults means that results are stored that this owner does not have. It
@@ -224,7 +224,7 @@
 	o.committedSignal = make(chan struct{})
 }
 
-// sendable returns the queued items that may be sent now.
+// sendable returns the waiting items that may be sent now.
 func (o *ownedJob) sendable(now time.Time) []*ownedItem {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/job/pacing_test.go
+++ b/internal/job/pacing_test.go
@@ -14,7 +14,7 @@
 	"topazpulley/internal/routing"
 )
 
-// window is the time within which owners do not see each other's placements.
+// window is the time in which placements are not yet reported to other owners.
 const window = 300 * time.Millisecond
 
 // noBound leaves the capacity unlimited.
@@ -39,7 +39,7 @@
 	})
 }
 
-// TestItemsPreemptedOnlyForOnlineRequests: all owners together take back the excess on
+// TestItemsPreemptedOnlyForOnlineRequests: all owners together preempt the excess on
 // average, none without online requests, and no owner more items than it has.
 func TestItemsPreemptedOnlyForOnlineRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,8 +69,8 @@
 	})
 }
 
-// TestPlacedItemsAreNotPreemptedAtOnce: items fill no more than the slots and are not taken
-// back while the load does not change.
+// TestPlacedItemsAreNotPreemptedAtOnce: items fill no more than the slots and are not
+// preempted while the load does not change.
 func TestPlacedItemsAreNotPreemptedAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidate := routing.Candidate{
@@ -96,9 +96,8 @@
 	return candidates
 }
 
-// TestOwnersDoNotOverfillWithinWindow: within one window, in which owners do not see each
-// other's placements, all owners together place no more items than there are free slots, plus
-// one for each owner.
+// TestOwnersDoNotOverfillWithinWindow: within one window, all owners together place no more items
+// than there are free slots, plus one for each owner.
 func TestOwnersDoNotOverfillWithinWindow(t *testing.T) {
 	const owners, passes, items, backends, slots = 10, 3, 200, 40, 10
 	seen := fleetOf(backends, slots, 2)
--- a/internal/job/permit.go
+++ b/internal/job/permit.go
@@ -10,7 +10,7 @@
 // claimsAgeLimit is the age of this daemon's copy of the claims above which it starts no
 // items: a job may have been cancelled or taken over meanwhile. Items of a cancelled job
 // must not reach a backend more than three seconds after the cancellation; the limit leaves
-// a second of this for the way to the backend. In normal operation the copy is at most
+// one second of this for sending the item. In normal operation the copy is at most
 // 1.5 s old.
 const claimsAgeLimit = 2 * time.Second
 
@@ -24,9 +24,9 @@
 
 // Reasons to refuse a permit.
 const (
-	refusedOldClaims refusalReason = "old_claims"
-	refusedDropped   refusalReason = "job_dropped"
-	refusedEnding    refusalReason = "job_ending"
+	refusedStaleClaims refusalReason = "old_claims"
+	refusedDropped     refusalReason = "job_dropped"
+	refusedCancelling  refusalReason = "job_ending"
 )
 
 // Error implements error.
@@ -47,9 +47,9 @@
 	case isDropped:
 		return permitRefused(refusedDropped, age)
 	case age > claimsAgeLimit:
-		return permitRefused(refusedOldClaims, age)
+		return permitRefused(refusedStaleClaims, age)
 	case s.cancellations.isBlocked(owner.job.ID):
-		return permitRefused(refusedEnding, age)
+		return permitRefused(refusedCancelling, age)
 	}
 	return nil
 }
@@ -65,14 +65,14 @@
 // and logs each change of this. Only the dispatcher's goroutine calls it.
 func (s *Service) mayStartItems() bool {
 	age := s.claimsAge()
-	isOld := age > claimsAgeLimit
-	if isOld != s.hasStaleClaims {
-		s.hasStaleClaims = isOld
+	isStale := age > claimsAgeLimit
+	if isStale != s.hasStaleClaims {
+		s.hasStaleClaims = isStale
 		event := "claims_regained"
-		if isOld {
+		if isStale {
 			event = "claims_too_old"
 		}
 		s.log.Info(event, "claims_age_ms", ageMillis(age), "limit_ms", claimsAgeLimit.Milliseconds(), "jobs", s.Owned())
 	}
-	return !isOld
+	return !isStale
 }
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -27,7 +27,7 @@
 }
 
 // shareOf returns one owner's share of an action that all owners take together. Owners
-// learn of each other's actions with a delay, so each takes its share, and rounds the
+// receive reports of each other's actions with a delay, so each takes its share, and rounds the
 // fraction up or down at random.
 func shareOf(total, own, all int, random *rand.Rand) int {
 	if total <= 0 || all <= 0 {
@@ -92,7 +92,7 @@
 }
 
 // begin starts a pass over the waiting items, given their number at this owner and at all
-// others. Once the window has passed, all owners know of each other's placements, and a
+// others. Once the window has passed, placements have been reported to all owners, and a
 // new window begins.
 func (p *placer) begin(own, others int, now time.Time, window time.Duration) {
 	p.fullServices, p.now = map[string]bool{}, now
@@ -178,21 +178,21 @@
 }
 
 // add records the run time of a completed item, over all its attempts.
-func (c *itemTimes) add(ran time.Duration) {
-	c.mean = c.expected() + time.Duration(itemTimeWeight*float64(ran-c.expected()))
+func (t *itemTimes) add(ran time.Duration) {
+	t.mean = t.expected() + time.Duration(itemTimeWeight*float64(ran-t.expected()))
 }
 
-func (c *itemTimes) expected() time.Duration {
-	if c.mean == 0 {
+func (t *itemTimes) expected() time.Duration {
+	if t.mean == 0 {
 		return initialItemTime
 	}
-	return c.mean
+	return t.mean
 }
 
 // isUrgent reports whether an item with this run time so far must run now to end before
 // it is due. An item past its due time isn't urgent.
-func (c *itemTimes) isUrgent(ran, untilDue time.Duration) bool {
-	return untilDue > 0 && untilDue-remainingTime(c.expected(), ran) < urgentSlack
+func (t *itemTimes) isUrgent(ran, untilDue time.Duration) bool {
+	return untilDue > 0 && untilDue-remainingTime(t.expected(), ran) < urgentSlack
 }
 
 // remainingTime estimates how much longer an item runs: one and a half times the expected
--- a/internal/job/preemption.go
+++ b/internal/job/preemption.go
@@ -8,11 +8,11 @@
 )
 
 // preemptor decides how many of its own items an owner preempts at a backend where online
-// requests wait for a slot. Requests that a backend refused preempt items themselves; see
-// Service.preemptOne.
+// requests wait for a slot. For a request that found no slot, Service.preemptOne preempts an
+// item instead.
 //
-// Owners learn of each other's preemptions with a delay, and see the same excess until
-// then. Each owner therefore preempts its share of an excess once per window. Only the
+// Preemptions are reported to other owners with a delay, and the excess appears unchanged
+// until then. Each owner therefore preempts its share of an excess once per window. Only the
 // dispatcher's goroutine uses it.
 type preemptor struct {
 	random *rand.Rand
@@ -51,14 +51,14 @@
 
 // isExcessDue reports whether an excess at the backend is to be acted on now: at once, or
 // after excessDelay if the service has free slots.
-func (y *preemptor) isExcessDue(candidate routing.Candidate, hasFreeSlots bool, now time.Time) bool {
+func (p *preemptor) isExcessDue(candidate routing.Candidate, hasFreeSlots bool, now time.Time) bool {
 	if !hasFreeSlots || batchExcess(candidate) == 0 {
-		delete(y.overloadedSince, candidate.ID)
+		delete(p.overloadedSince, candidate.ID)
 		return true
 	}
-	since, isKnown := y.overloadedSince[candidate.ID]
+	since, isKnown := p.overloadedSince[candidate.ID]
 	if !isKnown {
-		y.overloadedSince[candidate.ID] = now
+		p.overloadedSince[candidate.ID] = now
 		return false
 	}
 	return now.Sub(since) >= excessDelay
@@ -66,8 +66,8 @@
 
 // nextCheck returns the time until backends are checked again, unless an overload is
 // signalled before.
-func (y *preemptor) nextCheck() time.Duration {
-	if len(y.overloadedSince) > 0 {
+func (p *preemptor) nextCheck() time.Duration {
+	if len(p.overloadedSince) > 0 {
 		return excessDelay
 	}
 	return preemptInterval
@@ -75,34 +75,34 @@
 
 // share returns how many of its own items the owner preempts now: its share of the excess
 // that is new, or that remains after the window.
-func (y *preemptor) share(candidate routing.Candidate, now time.Time, window time.Duration) int {
+func (p *preemptor) share(candidate routing.Candidate, now time.Time, window time.Duration) int {
 	excess := batchExcess(candidate)
 	if excess == 0 {
-		delete(y.handled, candidate.ID)
+		delete(p.handled, candidate.ID)
 		return 0
 	}
-	handled := y.handled[candidate.ID]
+	handled := p.handled[candidate.ID]
 	isRecent := now.Sub(handled.at) < window
 	if !isRecent {
 		handled = handledExcess{at: now}
 	}
 	handled.remaining = min(handled.remaining, excess)
-	count := min(shareOf(excess-handled.remaining, candidate.OwnBatch, candidate.Batch, y.random), candidate.OwnBatch)
+	count := min(shareOf(excess-handled.remaining, candidate.OwnBatch, candidate.Batch, p.random), candidate.OwnBatch)
 	handled.remaining = excess - count
-	y.handled[candidate.ID] = handled
+	p.handled[candidate.ID] = handled
 	return count
 }
 
 // forget drops entries that are older than the window.
-func (y *preemptor) forget(now time.Time, window time.Duration) {
-	for id, handled := range y.handled {
+func (p *preemptor) forget(now time.Time, window time.Duration) {
+	for id, handled := range p.handled {
 		if now.Sub(handled.at) >= window {
-			delete(y.handled, id)
+			delete(p.handled, id)
 		}
 	}
-	for id, since := range y.overloadedSince {
+	for id, since := range p.overloadedSince {
 		if now.Sub(since) >= preemptInterval+window {
-			delete(y.overloadedSince, id)
+			delete(p.overloadedSince, id)
 		}
 	}
 }
--- a/internal/job/preemption_simulation_test.go
+++ b/internal/job/preemption_simulation_test.go
@@ -46,11 +46,11 @@
 
 // loadOwner is an owner with its own view of the fleet.
 type loadOwner struct {
-	age     time.Duration
-	waiting []*loadItem
-	running []*loadItem
-	placer  *placer
-	rooms   *capacityTracker
+	age             time.Duration
+	waiting         []*loadItem
+	running         []*loadItem
+	placer          *placer
+	capacityTracker *capacityTracker
 }
 
 // loadRequest is an online request without a slot.
@@ -99,7 +99,7 @@
 func newLoadSimulation(policy batchcapacity.Policy, seed uint64) *loadSimulation {
 	simulated := &loadSimulation{arrivals: rand.New(rand.NewPCG(1, seed)), random: rand.New(rand.NewPCG(2, seed)), now: time.Unix(1000, 0)}
 	for index := range uint64(loadOwners) {
-		owner := &loadOwner{age: 100*time.Millisecond + time.Duration(simulated.random.IntN(300))*time.Millisecond, rooms: newCapacityTracker(policy, rand.New(rand.NewPCG(index, seed)))}
+		owner := &loadOwner{age: 100*time.Millisecond + time.Duration(simulated.random.IntN(300))*time.Millisecond, capacityTracker: newCapacityTracker(policy, rand.New(rand.NewPCG(index, seed)))}
 		owner.placer = newPlacer(rand.New(rand.NewPCG(seed, index)), "", func(string, time.Time) batchcapacity.Capacity { return simulated.capacityOf(owner) })
 		simulated.owners = append(simulated.owners, owner)
 	}
@@ -143,7 +143,7 @@
 }
 
 func (w *loadSimulation) capacityOf(owner *loadOwner) batchcapacity.Capacity {
-	return owner.rooms.decide(owner.rooms.policy, "s", w.load(owner), loadItemTime, loadReportAge)
+	return owner.capacityTracker.decide(owner.capacityTracker.policy, "s", w.load(owner), loadItemTime, loadReportAge)
 }
 
 // play runs the simulation; online returns the slots that online requests need.
@@ -215,7 +215,7 @@
 	if at%dispatchInterval != 0 {
 		return
 	}
-	owner.rooms.recordLoad("s", w.load(owner), w.now)
+	owner.capacityTracker.recordLoad("s", w.load(owner), w.now)
 	if owner.placer.isPaused(w.now) {
 		return
 	}
@@ -325,7 +325,7 @@
 	return loadBackends - 1
 }
 
-// preempt asks the owner of a random item to take it back.
+// preempt asks the owner of a random item to preempt it.
 func (w *loadSimulation) preempt() {
 	index := w.random.IntN(loadBackends)
 	if len(w.items[index]) == 0 {
@@ -333,7 +333,7 @@
 	}
 	item := w.items[index][w.random.IntN(len(w.items[index]))]
 	owner := item.owner
-	if owner.rooms.policy != batchcapacity.PolicyFree && !owner.rooms.mustPreempt("s", w.load(owner), len(owner.running), loadReportAge, w.now) {
+	if owner.capacityTracker.policy != batchcapacity.PolicyFree && !owner.capacityTracker.mustPreempt("s", w.load(owner), len(owner.running), loadReportAge, w.now) {
 		return
 	}
 	owner.placer.avoid(fmt.Sprint("b", index), w.now.Add(loadReportAge))
@@ -355,9 +355,8 @@
 	}
 }
 
-// TestPreemptionsPerItemAreBounded: for several shapes of online load, the policies keep
-// preemptions per item below a bound, with nearly the completed items, overdue items and
-// overdue requests of PolicyFree.
+// TestPreemptionsPerItemAreBounded: the policies keep preemptions per item below a bound, and
+// completed items, overdue items and overdue requests close to those of PolicyFree.
 func TestPreemptionsPerItemAreBounded(t *testing.T) {
 	all := float64(loadBackends * loadSlots)
 	for _, each := range []struct {
--- a/internal/job/preemption_test.go
+++ b/internal/job/preemption_test.go
@@ -15,26 +15,26 @@
 
 // backendOwner is an owner of items at a backend.
 type backendOwner struct {
-	yielder *preemptor
-	own     int
+	preemptor *preemptor
+	own       int
 }
 
 func backendOwners(count int) []*backendOwner {
 	owners := []*backendOwner{}
 	for index := range uint64(count) {
-		owners = append(owners, &backendOwner{yielder: newPreemptor(rand.New(rand.NewPCG(7, index))), own: 1})
+		owners = append(owners, &backendOwner{preemptor: newPreemptor(rand.New(rand.NewPCG(7, index))), own: 1})
 	}
 	return owners
 }
 
-// check takes items back and returns how many.
+// check preempts items and returns how many.
 func (o *backendOwner) check(slots, online, others int, now time.Time) int {
-	taken := o.yielder.share(routing.Candidate{ID: "b", Slots: slots, Online: online, Batch: others + o.own, OwnBatch: o.own}, now, window)
+	taken := o.preemptor.share(routing.Candidate{ID: "b", Slots: slots, Online: online, Batch: others + o.own, OwnBatch: o.own}, now, window)
 	o.own -= taken
 	return taken
 }
 
-// TestOwnersAnswerExcessOnce: all owners together take back the excess once, on average,
+// TestOwnersAnswerExcessOnce: all owners together preempt the excess once, on average,
 // however often they check within the window.
 func TestOwnersAnswerExcessOnce(t *testing.T) {
 	const slots, online, rounds = 7, 2, 400
@@ -44,7 +44,7 @@
 		owners := backendOwners(slots)
 		for check := range checks {
 			for index, owner := range owners {
-				owner.yielder.random = rand.New(rand.NewPCG(uint64(round), uint64(check*slots+index)))
+				owner.preemptor.random = rand.New(rand.NewPCG(uint64(round), uint64(check*slots+index)))
 				taken += owner.check(slots, online, slots-1, start.Add(time.Duration(check)*overloadPause))
 			}
 		}
@@ -52,30 +52,30 @@
 	require.InDelta(t, float64(online), float64(taken)/rounds, 0.4)
 }
 
-// TestAddedExcessIsAnsweredAtOnce: excess that is added to an answered one is answered
+// TestAddedExcessIsAnsweredAtOnce: excess that is added to a handled one is handled
 // without waiting for the window.
 func TestAddedExcessIsAnsweredAtOnce(t *testing.T) {
 	now := time.Now()
-	owner := &backendOwner{yielder: newPreemptor(rand.New(rand.NewPCG(8, 8))), own: 4}
+	owner := &backendOwner{preemptor: newPreemptor(rand.New(rand.NewPCG(8, 8))), own: 4}
 	require.Equal(t, 1, owner.check(4, 1, 0, now))
 	require.Equal(t, 1, owner.check(4, 2, 0, now.Add(overloadPause)))
 	require.Zero(t, owner.check(4, 2, 0, now.Add(2*overloadPause)))
 }
 
-// TestPersistentExcessIsAnsweredAgain: excess that persists after the window is answered
+// TestPersistentExcessIsAnsweredAgain: excess that persists after the window is handled
 // again.
 func TestPersistentExcessIsAnsweredAgain(t *testing.T) {
 	now := time.Now()
-	owner := &backendOwner{yielder: newPreemptor(rand.New(rand.NewPCG(9, 9))), own: 1}
+	owner := &backendOwner{preemptor: newPreemptor(rand.New(rand.NewPCG(9, 9))), own: 1}
 	taken := 0
 	for check := range 400 {
 		taken += owner.check(7, 1, 6, now.Add(time.Duration(check)*window))
 	}
-	require.Equal(t, 1, taken, "the other owners took nothing back, so this one has to")
+	require.Equal(t, 1, taken, "the other owners preempted nothing, so this one must")
 }
 
 // TestExcessMustPersistWithFreeSlots: with free slots elsewhere, excess must persist before
-// an item is taken back; without, it need not.
+// an item is preempted; without, it need not.
 func TestExcessMustPersistWithFreeSlots(t *testing.T) {
 	now, overloaded := time.Now(), routing.Candidate{ID: "b", Slots: 4, Online: 2, Batch: 3}
 	checking := newPreemptor(rand.New(rand.NewPCG(13, 13)))
--- a/internal/job/queued_tokens_test.go
+++ b/internal/job/queued_tokens_test.go
@@ -108,7 +108,7 @@
 	accepted := sizedJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
-	other.peers.kill("a")
+	other.peers.markGone("a")
 	require.LessOrEqual(t, queuedTokens(t, store), int64(200))
 	requireAllCompleted(t, other, accepted)
 	requireNoQueuedTokens(t, store)
@@ -123,12 +123,11 @@
 	requireNoQueuedTokens(t, store)
 }
 
-// TestReservationOfStoppedDaemonIsSwept: the reservation of an acceptance that has not taken
-// effect is swept after its daemon stops. The acceptance must then fail, since its tokens are
-// no longer counted.
+// TestReservationOfStoppedDaemonIsSwept: the reservation of an unsettled acceptance is swept after
+// its daemon stops. The acceptance must then fail, because its tokens are no longer counted.
 func TestReservationOfStoppedDaemonIsSwept(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
-	dying, other := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
+	stopping, other := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
 	commits := 0
 	store.SetDecide(func(call string) tabletest.Fault {
 		if call == "commit" {
@@ -141,9 +140,9 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	err := dying.Submit(ctx, sizedJob("j1", 5))
+	err := stopping.Submit(ctx, sizedJob("j1", 5))
 	require.True(t, failure.Is(err, failure.KindOutcomeUnknown), "%v", err)
-	dying.cancel()
+	stopping.cancel()
 	store.SetDecide(nil)
 	require.EqualValues(t, 50, queuedTokens(t, store))
 	requireNoQueuedTokens(t, store)
@@ -156,20 +155,19 @@
 	requireNoQueuedTokens(t, store)
 }
 
-// TestRefusedAttemptKeepsUnsettledReservation: the acceptance at one daemon is unsettled when
-// the attempt of another daemon is refused. The tokens must stay counted: the first
-// acceptance may take effect.
+// TestRefusedAttemptKeepsUnsettledReservation: a refused attempt must not release the tokens of an
+// unsettled acceptance at another daemon, which may still take effect.
 func TestRefusedAttemptKeepsUnsettledReservation(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = time.Second
 	first, second := startWithTokenLimit(t, "a", store, fake, 0, 50), startWithTokenLimit(t, "b", store, fake, 0, 50)
-	submit := func(to *daemon, sound int, fault tabletest.Fault) error {
+	submit := func(to *daemon, faultless int, fault tabletest.Fault) error {
 		commits := 0
 		store.SetDecide(func(call string) tabletest.Fault {
 			if call == "commit" {
 				commits++
 			}
-			if call == "commit" && commits > sound {
+			if call == "commit" && commits > faultless {
 				return fault
 			}
 			return tabletest.FaultNone
@@ -179,7 +177,7 @@
 		defer store.SetDecide(nil)
 		return to.Submit(ctx, sizedJob("j1", 5))
 	}
-	// A daemon learns the state of an account with its first commit on it.
+	// A daemon receives the state of an account with its first commit to it.
 	require.True(t, failure.Is(second.Submit(t.Context(), sizedJob("large", 6)), failure.KindOverloaded))
 	require.True(t, failure.Is(first.Submit(t.Context(), sizedJob("large", 6)), failure.KindOverloaded))
 	require.True(t, failure.Is(submit(first, 1, tabletest.FaultLate), failure.KindOutcomeUnknown))
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -39,8 +39,8 @@
 }
 
 // awaitResults waits until the job may have new results. If this daemon owns the job,
-// it returns at the next commit; otherwise it waits the whole time. It returns false if
-// ctx ends first.
+// it returns at the next commit; otherwise it waits for the full duration. It returns
+// false if ctx ends first.
 func (s *Service) awaitResults(ctx context.Context, id string, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/job/removed_claims_test.go
+++ b/internal/job/removed_claims_test.go
@@ -9,9 +9,8 @@
 	"topazpulley/internal/table/tabletest"
 )
 
-// TestFinishedJobIsNotOwnedAgain: an owner drops a job because it canceled it, a commit found
-// the claim missing, or the last result was listed. It must not own the job again because its
-// copy of the claims is older.
+// TestFinishedJobIsNotOwnedAgain: an owner that dropped a finished or cancelled job must not own
+// it again because of an older copy of the claims.
 func TestFinishedJobIsNotOwnedAgain(t *testing.T) {
 	cases := map[string]struct {
 		pause  time.Duration
@@ -50,7 +49,7 @@
 }
 
 // TestRemovedClaimsAreForgotten: recorded claim removals are forgotten once the copy of the
-// claims has caught up, for canceled and finished jobs.
+// claims has caught up, for cancelled and finished jobs.
 func TestRemovedClaimsAreForgotten(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = 50 * time.Millisecond
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -103,22 +103,22 @@
 	stop    context.CancelFunc
 	wake    chan struct{}
 	// dispatchedAt and hasStaleClaims belong to the dispatcher's goroutine.
-	dispatchedAt   time.Time
-	hasStaleClaims bool
-	placer         *placer
-	capacities     *capacityTracker
-	preempter      *preemptor
-	quota          *quota.Accounts
-	quarantine     *quarantine.Guard
-	claimsAge      func() time.Duration
-	availability   Availability
-	submissions    *submissionbuffer.Buffer
-	sweeper        sweeper
-	cancellations  cancellations
-	pageLimit      pageLimit
-
-	mutex sync.Mutex
-	clock itemTimes
+	dispatchedAt    time.Time
+	hasStaleClaims  bool
+	placer          *placer
+	capacityTracker *capacityTracker
+	preemptor       *preemptor
+	quota           *quota.Accounts
+	quarantine      *quarantine.Guard
+	claimsAge       func() time.Duration
+	availability    Availability
+	submissions     *submissionbuffer.Buffer
+	sweeper         sweeper
+	cancellations   cancellations
+	pageLimit       pageLimit
+
+	mutex     sync.Mutex
+	itemTimes itemTimes
 	// claims is the followed copy of the claim rows, at version followed.
 	claims   map[string]versionedClaim
 	followed table.Version
@@ -157,7 +157,7 @@
 		holder: dependencies.Holder, peers: dependencies.Peers, metrics: dependencies.Metrics, log: dependencies.Logger,
 		connections: dependencies.Connections, placeAfter: time.Now().Add(dependencies.SettlingTime),
 		lifetime: lifetime, cancelLifetime: cancelLifetime, stopped: stopped, stop: stop, wake: make(chan struct{}, 1),
-		capacities: newCapacityTracker(dependencies.BatchCapacity, newRandom()), preempter: newPreemptor(newRandom()),
+		capacityTracker: newCapacityTracker(dependencies.BatchCapacity, newRandom()), preemptor: newPreemptor(newRandom()),
 		claims: map[string]versionedClaim{}, removed: map[string]table.Version{}, orphans: map[string]time.Time{}, claimedAt: map[string]time.Time{}, takeovers: newTakeovers(), owned: map[string]*ownedJob{}, accepted: map[string]acceptance{},
 		quota: dependencies.Quota, quarantine: dependencies.Quarantine, claimsAge: dependencies.ClaimsAge,
 		availability: dependencies.Availability, submissions: submissionbuffer.New(dependencies.SubmissionLimits), unsettledJobs: map[string]endedJob{}, sweeper: newSweeper(), cancellations: newCancellations(),
--- a/internal/job/slow_link_test.go
+++ b/internal/job/slow_link_test.go
@@ -91,7 +91,7 @@
 	accepted := newJob("j1", 3)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
-	first.peers.kill("a")
-	second.peers.kill("a")
+	first.peers.markGone("a")
+	second.peers.markGone("a")
 	requireAllCompleted(t, second, accepted)
 }
--- a/internal/job/stale_claims_test.go
+++ b/internal/job/stale_claims_test.go
@@ -34,5 +34,5 @@
 	require.False(t, failure.Is(other.Cancel(bounded, "j1"), failure.KindNotFound))
 	store.Thaw()
 	stalled.isStalled.Store(false)
-	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not canceled")
+	require.Eventually(t, func() bool { return owner.Owned() == 0 }, testTimeout, pollInterval, "the job was not cancelled")
 }
--- a/internal/job/store_faults_test.go
+++ b/internal/job/store_faults_test.go
@@ -26,9 +26,8 @@
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestUnsettledAcceptanceIsNotReportedNotRun: the store loses the first reply and then
-// refuses. The acceptance may take effect later, so the failure must not say that the job did
-// not run.
+// TestUnsettledAcceptanceIsNotReportedNotRun: a submission must not be reported as not run if its
+// first commit had no reply and may take effect later.
 func TestUnsettledAcceptanceIsNotReportedNotRun(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	owner := startDaemon(t, "a", store, fake)
@@ -44,9 +43,8 @@
 	requireAllCompleted(t, owner, accepted)
 }
 
-// TestUnsettledCancelIsNotReportedNotDone: the store loses the reply to a cancellation and
-// then refuses. The cancellation may take effect later, so the failure must not say that it
-// was not done.
+// TestUnsettledCancelIsNotReportedNotDone: a cancellation must not be reported as not done if its
+// first commit had no reply and may take effect later.
 func TestUnsettledCancelIsNotReportedNotDone(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	owner := startDaemon(t, "a", store, fake)
@@ -126,9 +124,9 @@
 	watches atomic.Int64
 }
 
-func (d *firstWatchStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
-	if d.watches.Add(1) == 1 {
-		return d.Store.Watch(ctx, name, after, wait)
+func (s *firstWatchStore) Watch(ctx context.Context, name string, after table.Version, wait time.Duration) (table.Changes, error) {
+	if s.watches.Add(1) == 1 {
+		return s.Store.Watch(ctx, name, after, wait)
 	}
 	return blockWatch(ctx)
 }
@@ -140,7 +138,7 @@
 }
 
 // TestOwnerWithoutWatchCommitsNothingAfterCancel: the claim condition alone keeps an owner
-// without a watch from listing results of a canceled job.
+// without a watch from listing results of a cancelled job.
 func TestOwnerWithoutWatchCommitsNothingAfterCancel(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
 	fake.pause = 40 * time.Millisecond
@@ -178,7 +176,7 @@
 		accepted = append(accepted, submitted)
 	}
 	for _, survivor := range daemons[1:] {
-		survivor.peers.kill("a")
+		survivor.peers.markGone("a")
 	}
 	daemons[0].cancel()
 	stop := make(chan struct{})
--- a/internal/job/takeover_test.go
+++ b/internal/job/takeover_test.go
@@ -21,7 +21,7 @@
 	accepted := newJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
 	owner.cancel()
-	other.peers.kill("a")
+	other.peers.markGone("a")
 	requireAllCompleted(t, other, accepted)
 }
 
@@ -33,7 +33,7 @@
 	owner, other := startDaemon(t, "a", store, fake), startDaemon(t, "b", store, fake)
 	accepted := newJob("j1", 20)
 	require.NoError(t, owner.Submit(t.Context(), accepted))
-	other.peers.kill("a")
+	other.peers.markGone("a")
 	requireAllCompleted(t, other, accepted)
 	requireAllCompleted(t, owner, accepted)
 }
@@ -81,7 +81,7 @@
 			owner.Stop(t.Context())
 		} else {
 			owner.cancel()
-			other.peers.kill("a")
+			other.peers.markGone("a")
 		}
 		requireAllCompleted(t, other, accepted)
 		for _, item := range accepted.Items {
@@ -120,7 +120,7 @@
 	return g.Store.Read(ctx, wanted)
 }
 
-// TestJobCanceledDuringTakeoverIsNotRun: the job is canceled while the daemon that takes it
+// TestJobCanceledDuringTakeoverIsNotRun: the job is cancelled while the daemon that takes it
 // over reads its items.
 func TestJobCanceledDuringTakeoverIsNotRun(t *testing.T) {
 	store, fake := tabletest.NewMemory(), newFakeBackends()
@@ -132,7 +132,7 @@
 	gated := &gatedStore{Store: store, reached: make(chan struct{}), open: make(chan struct{})}
 	late := newFakeBackends()
 	successor, third := startDaemon(t, "b", gated, late), startDaemon(t, "c", store, fake)
-	successor.peers.kill("a")
+	successor.peers.markGone("a")
 	<-gated.reached
 	require.NoError(t, third.Cancel(t.Context(), "j1"))
 	ended := store.Version()
--- a/internal/periodic/sleep.go
+++ b/internal/periodic/sleep.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// SleepAbout waits for a random time between 0.5 and 1.5 times the pause, to avoid
-// that many callers resume at once. It reports false if the context ends first. The
+// SleepAbout waits for a random time between 0.5 and 1.5 times the pause, so
+// that many callers do not resume at once. It reports false if the context ends first. The
 // pause must be positive.
 func SleepAbout(ctx context.Context, pause time.Duration) bool {
 	return Sleep(ctx, pause/2+rand.N(pause))
--- a/internal/table/forwarding.go
+++ b/internal/table/forwarding.go
@@ -137,8 +137,8 @@
 	// directShare divides a call's remaining time: a direct call gets one part of
 	// directShare, the rest is left for a call through a peer.
 	directShare = 2
-	// recentAnswerTime is how long after an answer a direct call gets its full time. It
-	// avoids repeated calls to a store that is slow.
+	// recentAnswerTime is how long after an answer a direct call gets its full time. This
+	// way, calls to a slow store are not made through a peer too.
 	recentAnswerTime = 3 * time.Second
 )
 
--- a/internal/table/resize.go
+++ b/internal/table/resize.go
@@ -9,7 +9,7 @@
 const resizePause = time.Second
 
 // resize reads the table again if the section has become too small or too large, or if a
-// table that is kept entirely has grown too large. If that fails, the present rows stay.
+// table that is kept entirely has grown too large. If that fails, the present rows are kept.
 func (f *Follower) resize(ctx context.Context, isSynced bool) {
 	section, _, isKnown := f.Section()
 	if !isSynced || !isKnown || time.Now().Before(f.resizeAfter) {
--- a/internal/table/settling.go
+++ b/internal/table/settling.go
@@ -6,9 +6,9 @@
 	"topazpulley/internal/boottime"
 )
 
-// rewriteTime is how long after a recovery of the store rows that expired during the
-// outage may still be missing. It must stay below the 2 s after which a backend that has
-// left must get no requests.
+// rewriteTime is the time after a recovery of the store within which rows that expired
+// during the outage may still be missing. It must stay below the 2 s after which a backend
+// that has left must get no requests.
 const rewriteTime = 1800 * time.Millisecond
 
 // settling describes the last outage of the store. After it, the owners of expired rows
--- a/test/mutants.d/patience.sh
+++ b/test/mutants.d/patience.sh
@@ -10,7 +10,7 @@
 mutant held_memory_not_given_back internal/job/buffering.go \
 	'defer remove()' '_ = remove' internal/job TestBufferedSubmissionEndsWithCaller
 mutant not_held internal/job/accept.go \
-	'wasHeld, err := s.bufferWhileUnavailable(ctx, submitted)' 'wasHeld, err := false, error(nil)' internal/job TestBufferedJobsAreAcceptedAfterOutage
+	'wasBuffered, err := s.bufferWhileUnavailable(ctx, submitted)' 'wasBuffered, err := false, error(nil)' internal/job TestBufferedJobsAreAcceptedAfterOutage
 mutant left_whatever_the_route internal/serving/timeout.go \
 	'!e.request.Route.Repeatable() || e.runs+1 >= e.request.Route.MaxAttempts' 'false' internal/serving TestUnrepeatableAttemptIsNotEnded
 mutant silence_without_budget internal/serving/timeout.go \
