--- a/internal/access/sleep_test.go
+++ b/internal/access/sleep_test.go
@@ -23,8 +23,7 @@
 func (noConsumer) Change([]table.Row, table.Version)  {}
 
 // TestKeysAreRefusedAfterSuspend fails if keys that may have been revoked while the machine was
-// suspended are accepted before the next confirmation. The monotonic clock doesn't advance
-// meanwhile.
+// suspended, which stops the monotonic clock, are accepted before the next confirmation.
 func TestKeysAreRefusedAfterSuspend(t *testing.T) {
 	const bound, timeout = 5 * time.Second, 10 * time.Second
 	store := tabletest.NewMemory()
--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -15,7 +15,7 @@
 // backends a limited rate. Set.mutex guards it.
 type admission struct {
 	// evacuated are the zones that get no new work. reopened holds when a zone's
-	// evacuation ended: its backends may be cold before their entries say so.
+	// evacuation ended: its backends may be cold before their entries show it.
 	evacuated map[string]bool
 	reopened  map[string]time.Time
 	// coldRates returns the requests per second allowed at a cold backend of a service; 0
--- a/internal/backend/admission_test.go
+++ b/internal/backend/admission_test.go
@@ -25,9 +25,8 @@
 	return isTaken
 }
 
-// TestEvacuatedZoneGetsNoNewWork checks that backends of an evacuated zone get no new
-// work, including backends listed later and requests with a reservation, until the zone is
-// reopened.
+// TestEvacuatedZoneGetsNoNewWork checks that an evacuated zone gets no new work until it is
+// reopened, also at backends listed later and for requests with a reservation.
 func TestEvacuatedZoneGetsNoNewWork(t *testing.T) {
 	set := backend.NewSet()
 	set.Put(backend.Instance{ID: "a", Service: "s", Slots: 4, Zone: "one"})
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -64,6 +64,8 @@
 // state is a backend with its load. Set.mutex guards it.
 type state struct {
 	Instance
+	// online, batch and pendingTokens are this daemon's work in flight, as in PeerLoad.
+	// peers is the work of the other daemons, by daemon.
 	online, batch int
 	pendingTokens int
 	peers         map[string]PeerLoad
@@ -86,9 +88,10 @@
 // PeerLoad is one daemon's work in flight at a backend.
 type PeerLoad struct {
 	// StartMillis identifies the incarnation at which the work runs, as in Instance.
-	StartMillis   int64
-	Online        int
-	Batch         int
+	StartMillis int64
+	Online      int
+	Batch       int
+	// PendingTokens is the number of uncached prompt tokens of requests without output.
 	PendingTokens int
 }
 
@@ -128,9 +131,9 @@
 	// unsentFailures are the failures not yet sent to other daemons.
 	unsentFailures map[Incarnation]int
 	publishSignal  chan struct{}
-	// overloaded receives when online requests may wait for this daemon's batch items.
+	// overloaded is signalled when online requests may wait for this daemon's batch items.
 	overloaded chan struct{}
-	// preemptions receives the backends at which another daemon should preempt an item,
+	// preemptions queues the backends at which another daemon should preempt an item,
 	// ownPreemptions those at which this daemon should.
 	preemptions    chan string
 	ownPreemptions chan string
@@ -139,9 +142,9 @@
 	waiting        int
 	peerWaiting    map[string]int
 	hasPeerReports bool
-	// waits is the queue of this daemon by service, peerQueueStats the queue stats of
+	// queues is the queue of this daemon by service, peerQueueStats the queue stats of
 	// other daemons by daemon and service.
-	waits          map[string]*serviceWait
+	queues         map[string]*serviceQueue
 	peerQueueStats map[string]map[string]slotqueue.Stats
 	// propagation is the time until other daemons learn of a change here.
 	propagation time.Duration
@@ -157,7 +160,7 @@
 		unsentFailures: map[Incarnation]int{}, startTimes: newStartTimes(), peerWaiting: map[string]int{}, propagation: defaultPropagation,
 		preemptions: make(chan string, maxQueuedPreemptions), ownPreemptions: make(chan string, maxQueuedPreemptions),
 		connected: func() map[Incarnation]bool { return nil }, admission: newAdmission(),
-		waits: map[string]*serviceWait{}, peerQueueStats: map[string]map[string]slotqueue.Stats{},
+		queues: map[string]*serviceQueue{}, peerQueueStats: map[string]map[string]slotqueue.Stats{},
 	}
 }
 
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -14,11 +14,11 @@
 
 // String formats the incarnation for logs and stored rows as id@start, or as the id alone
 // if the start time is unknown.
-func (l Incarnation) String() string {
-	if l.StartMillis == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.StartMillis == 0 {
+		return i.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.StartMillis, decimal)
+	return i.ID + "@" + strconv.FormatInt(i.StartMillis, decimal)
 }
 
 // decimal is the base of numbers in text.
@@ -83,8 +83,8 @@
 // dropped can be listed again by a stale entry, until the next entry arrives.
 const maxStartTimes = 4096
 
-// startTimes holds the latest start time of each removed backend, in two generations. The
-// older generation is dropped as a whole.
+// startTimes holds the latest start time of each removed backend, in two generations. All
+// entries of the older generation are dropped together.
 type startTimes struct {
 	newer, older map[string]int64
 }
@@ -94,15 +94,15 @@
 }
 
 // record stores the start time of a removed backend, if it is known.
-func (b *startTimes) record(gone Incarnation) {
-	if gone.StartMillis == 0 || gone.StartMillis < b.newest(gone.ID) {
+func (s *startTimes) record(gone Incarnation) {
+	if gone.StartMillis == 0 || gone.StartMillis < s.newest(gone.ID) {
 		return
 	}
-	if len(b.newer) >= maxStartTimes {
-		b.older, b.newer = b.newer, map[string]int64{}
+	if len(s.newer) >= maxStartTimes {
+		s.older, s.newer = s.newer, map[string]int64{}
 	}
-	b.newer[gone.ID] = gone.StartMillis
+	s.newer[gone.ID] = gone.StartMillis
 }
 
 // newest returns the latest start time stored for an id, or 0.
-func (b *startTimes) newest(id string) int64 { return max(b.newer[id], b.older[id]) }
+func (s *startTimes) newest(id string) int64 { return max(s.newer[id], s.older[id]) }
--- a/internal/backend/lease.go
+++ b/internal/backend/lease.go
@@ -84,7 +84,7 @@
 	return batch > 0 && online > 0 && online+batch > k.Slots
 }
 
-// Overloaded receives when online requests may wait for this daemon's batch items.
+// Overloaded is signalled when online requests may wait for this daemon's batch items.
 func (s *Set) Overloaded() <-chan struct{} { return s.overloaded }
 
 func (k *state) count(class Class, change int) {
@@ -138,7 +138,7 @@
 	wasOverloaded := l.state.isOverloaded()
 	l.state.count(l.class, -1)
 	if hadSlot {
-		l.set.wait(l.state.Service).freed.Add(time.Now())
+		l.set.queueOf(l.state.Service).freed.Add(time.Now())
 	}
 	if l.class == Batch && wasOverloaded {
 		// Publish at once, so that no other daemon preempts a second item.
@@ -230,10 +230,10 @@
 }
 
 // SetPropagation sets the time until other daemons learn of a change here.
-func (s *Set) SetPropagation(time time.Duration) {
+func (s *Set) SetPropagation(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.propagation = time
+	s.propagation = delay
 }
 
 // Propagation returns the time until other daemons learn of a change here.
--- a/internal/backend/preempt.go
+++ b/internal/backend/preempt.go
@@ -17,13 +17,13 @@
 	}
 }
 
-// Preemptions receives the ids of backends at which another daemon should preempt an item.
+// Preemptions delivers the ids of backends at which another daemon should preempt an item.
 func (s *Set) Preemptions() <-chan string { return s.preemptions }
 
 // PreemptOwn requests that this daemon's batch work preempt one of its items at a backend.
 func (s *Set) PreemptOwn(id string) { offer(s.ownPreemptions, id) }
 
-// OwnPreemptions receives the ids of backends at which this daemon should preempt an item.
+// OwnPreemptions delivers the ids of backends at which this daemon should preempt an item.
 func (s *Set) OwnPreemptions() <-chan string { return s.ownPreemptions }
 
 // HasBatch reports whether an item of this daemon runs at a backend.
--- a/internal/backend/prompts.go
+++ b/internal/backend/prompts.go
@@ -110,6 +110,6 @@
 	}
 }
 
-// PublishSignal receives when the load should be published at once: a large prompt was
+// PublishSignal is signalled when the load should be published at once: a large prompt was
 // sent, or the overload of a backend changed.
 func (s *Set) PublishSignal() <-chan struct{} { return s.publishSignal }
--- a/internal/backend/waiting.go
+++ b/internal/backend/waiting.go
@@ -6,8 +6,8 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// serviceWait holds this daemon's queued online requests of one service. Set.mutex guards it.
-type serviceWait struct {
+// serviceQueue holds this daemon's queued online requests of one service. Set.mutex guards it.
+type serviceQueue struct {
 	// onTimeUntil is, by queued request, the latest time at which it is still on time.
 	onTimeUntil map[*WaitingRequest]time.Time
 	// freed counts the slots freed by requests and items of this daemon.
@@ -21,12 +21,12 @@
 	service string
 }
 
-// wait returns the queue of a service and creates it if necessary. mutex must be held.
-func (s *Set) wait(service string) *serviceWait {
-	known, exists := s.waits[service]
+// queueOf returns the queue of a service and creates it if necessary. mutex must be held.
+func (s *Set) queueOf(service string) *serviceQueue {
+	known, exists := s.queues[service]
 	if !exists {
-		known = &serviceWait{onTimeUntil: map[*WaitingRequest]time.Time{}}
-		s.waits[service] = known
+		known = &serviceQueue{onTimeUntil: map[*WaitingRequest]time.Time{}}
+		s.queues[service] = known
 	}
 	return known
 }
@@ -37,7 +37,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	request := &WaitingRequest{set: s, service: service}
-	s.wait(service).onTimeUntil[request] = onTimeUntil
+	s.queueOf(service).onTimeUntil[request] = onTimeUntil
 	return request
 }
 
@@ -45,11 +45,11 @@
 func (w *WaitingRequest) Done() {
 	w.set.mutex.Lock()
 	defer w.set.mutex.Unlock()
-	delete(w.set.wait(w.service).onTimeUntil, w)
+	delete(w.set.queueOf(w.service).onTimeUntil, w)
 }
 
 // stats returns this daemon's queue stats. mutex must be held.
-func (w *serviceWait) stats(now time.Time) slotqueue.Stats {
+func (w *serviceQueue) stats(now time.Time) slotqueue.Stats {
 	found := slotqueue.Stats{FreedSlots: w.freed.Count(now)}
 	for _, until := range w.onTimeUntil {
 		if now.Before(until) {
@@ -67,7 +67,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	found := map[string]slotqueue.Stats{}
-	for service, known := range s.waits {
+	for service, known := range s.queues {
 		if own := known.stats(now); own != (slotqueue.Stats{}) {
 			found[service] = own
 		}
@@ -80,7 +80,7 @@
 func (s *Set) FleetQueueStats(service string, now time.Time) slotqueue.Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	total := s.wait(service).stats(now)
+	total := s.queueOf(service).stats(now)
 	for _, stats := range s.peerQueueStats {
 		total = total.Plus(stats[service])
 	}
@@ -103,7 +103,7 @@
 func (s *Set) ObserveFirstOutput(service string, taken time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.wait(service).firstOutputTime.Add(taken)
+	s.queueOf(service).firstOutputTime.Add(taken)
 }
 
 // FirstOutputTime returns the first output time to reserve for a request of a service within
@@ -111,5 +111,5 @@
 func (s *Set) FirstOutputTime(service string, objective time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.wait(service).firstOutputTime.Within(objective)
+	return s.queueOf(service).firstOutputTime.Within(objective)
 }
--- a/internal/backend/waiting_test.go
+++ b/internal/backend/waiting_test.go
@@ -10,9 +10,8 @@
 	"topazpulley/internal/slotqueue"
 )
 
-// TestQueueStats checks that queued requests count as on time, then as overdue, until
-// Done. Freed slots count once, and only for requests that had output. Peer stats are
-// added until the daemon is removed.
+// TestQueueStats checks that queued requests are counted until Done, freed slots once and
+// only after output, and peer stats until the daemon is removed.
 func TestQueueStats(t *testing.T) {
 	set, now := backend.NewSet(), time.Now()
 	set.Put(backend.Instance{ID: "one", Service: "s", Slots: 4})
--- a/internal/batchcapacity/capacity.go
+++ b/internal/batchcapacity/capacity.go
@@ -10,15 +10,16 @@
 
 // The policies.
 const (
-	// PolicyFree gives batch all free slots.
+	// PolicyFree gives batch all free slots. An online request that finds no slot at a
+	// backend preempts an item there.
 	PolicyFree Policy = "free"
 	// PolicyOnce gives batch all free slots and preempts only excess items.
 	PolicyOnce Policy = "once"
-	// PolicyReserve is PolicyOnce, but deferrable items keep free the slots that online
-	// requests need to find one.
+	// PolicyReserve is PolicyOnce, but deferrable items leave some slots free, so that
+	// online requests find one.
 	PolicyReserve Policy = "reserve"
-	// PolicyPeriodic is PolicyReserve, but deferrable items also keep free the slots of
-	// the next burst of periodic demand.
+	// PolicyPeriodic is PolicyReserve, but deferrable items also leave slots free for the
+	// next burst of periodic demand.
 	PolicyPeriodic Policy = "rhythm"
 )
 
@@ -30,7 +31,7 @@
 // Capacity is the number of further items that all daemons together should send to a service.
 // Each item also needs a free slot.
 type Capacity struct {
-	// Urgent is the capacity for items that must run now, limited only by the number of
+	// Urgent is the capacity for urgent items, limited only by the number of
 	// slots. Deferrable is the capacity for items that can wait.
 	Urgent     int
 	Deferrable int
@@ -54,9 +55,9 @@
 	Age time.Duration
 }
 
-// onlineReserve returns the number of slots that deferrable items keep free: those that
-// requests need to find one, at most the amount of online work. Items sent into fewer free
-// slots would soon be preempted.
+// onlineReserve returns the number of slots that deferrable items leave free:
+// FreeSlotsNeeded, but no more than there is online work. If fewer were free, items would
+// soon be preempted.
 func onlineReserve(load Load) int { return min(FreeSlotsNeeded(load), load.Online) }
 
 // freeSlots returns the free slots beyond a reserve.
--- a/internal/batchcapacity/capacity_test.go
+++ b/internal/batchcapacity/capacity_test.go
@@ -21,9 +21,8 @@
 	return Load{Backends: 90, Slots: slots, Online: online, Batch: batch}
 }
 
-// TestReservePolicyKeepsSlotsFree checks that with much online work, deferrable items
-// don't take the last free slots, and urgent items do. Without online work no slot is kept
-// free.
+// TestReservePolicyKeepsSlotsFree checks that only urgent items take the last free slots
+// while there is much online work. Without online work no slot is kept free.
 func TestReservePolicyKeepsSlotsFree(t *testing.T) {
 	burst := fleet(540, 140)
 	for _, policy := range []Policy{PolicyFree, PolicyOnce} {
--- a/internal/batchcapacity/demand.go
+++ b/internal/batchcapacity/demand.go
@@ -94,7 +94,7 @@
 	return int(math.Ceil(most)), true
 }
 
-// Mean returns the mean online work of the samples, over whole periods if one is detected. It
+// Mean returns the mean online work of the samples, over complete periods if one is detected. It
 // returns unknown if there are no samples.
 func (d *Demand) Mean(unknown int) int {
 	if len(d.levels) == 0 {
@@ -143,7 +143,7 @@
 }
 
 // detectPeriod sets the period to the shortest lag with a high autocorrelation, or to 0 if
-// there is none. Samples of two whole periods are necessary.
+// there is none. Samples of two complete periods are necessary.
 func (d *Demand) detectPeriod() {
 	d.period = 0
 	correlations := map[int]float64{}
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -143,8 +143,8 @@
 	require.LessOrEqual(t, len(known.newer)+len(known.older), 2*maxSuccesses)
 }
 
-// TestSuccessesExpireDuringSleep checks that system sleep counts towards the age of a
-// success.
+// TestSuccessesExpireDuringSleep checks that the age of a success includes the time while
+// the machine is suspended.
 func TestSuccessesExpireDuringSleep(t *testing.T) {
 	for span, isQuarantined := range map[time.Duration]bool{time.Second: false, 5 * time.Second: false, 2 * successTime: true, time.Minute: true} {
 		t.Run(span.String(), func(t *testing.T) {
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -8,8 +8,8 @@
 
 const (
 	// successTime is the minimum time for which a success of a request excuses later
-	// crashes; the maximum is twice that. It covers requests that many callers send, which
-	// are in flight at several backends when these crash for another reason.
+	// crashes; the maximum is twice that. A request that many callers send may be in flight
+	// at several backends that crash for another reason.
 	successTime = 5 * time.Second
 	// crashGroupTime is the maximum time between the observations of simultaneous crashes:
 	// a live check, and the delivery of the notice.
@@ -35,12 +35,12 @@
 	return isKnown
 }
 
-// successes holds the requests that succeeded recently, in two generations: the older one
-// is dropped at once. The value is the crash group that the latest success excuses, nil
+// successes holds the requests that succeeded recently, in two generations. All
+// entries of the older generation are dropped together. The value is the crash group that the latest success excuses, nil
 // until a backend crashes.
 type successes struct {
 	newer, older map[Fingerprint]*crashGroup
-	// rotatedAt is the time of the last rotation, by a clock that includes system sleep.
+	// rotatedAt is the time of the last rotation, by a clock that advances while the machine is suspended.
 	rotatedAt boottime.Instant
 }
 
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -149,8 +149,9 @@
 		return answer.Outcomes, nil
 	}
 	if failure.HasCode(err, codeUnavailable) {
-		// The coordinator is available, but the store is not. Bypassing the coordinator
-		// would lead to conflicting commits when the store is available again.
+		// The coordinator is available, but the store did not answer it. The coordinator
+		// is not avoided for avoidTime: direct commits of many daemons would conflict
+		// when the store is available again.
 		a.log.Info("quota_keeper_waits", "account", request.Account, "keeper", address, "error", err)
 		return nil, unavailable(err)
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -155,9 +155,9 @@
 	return batch, l.limit
 }
 
-// commit retries a batch until it is committed or all its callers have left. A conflict
-// refreshes the view, so the next attempt follows at once: after a pause the view would be
-// outdated again. Two conflicts in a row are followed by a pause.
+// commit retries a batch until it is committed or the contexts of all its callers have
+// ended. A conflict refreshes the view, so the next attempt follows without a pause, after
+// which the view might be outdated again. A second conflict in a row is followed by a pause.
 func (l *ledger) commit(batch []*pending, limit Limit) {
 	isFresh, unanswered := false, 0
 	for {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -53,9 +53,8 @@
 	return sum
 }
 
-// TestTotalStaysWithinLimit runs operations of several daemons in any order on a store that
-// refuses calls, loses answers and commits late. It guards against a total that exceeds the
-// limit or differs from the sum of the reservations.
+// TestTotalStaysWithinLimit guards against a total that exceeds the limit or differs from
+// the sum of the reservations, on a store that refuses calls, loses answers or commits late.
 func TestTotalStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 100
@@ -214,7 +213,7 @@
 	require.EqualValues(t, 60, requireSum(t, store))
 }
 
-// TestRetryAfterFollowsFreedRate checks the retry time in refusals and its range.
+// TestRetryAfterFollowsFreedRate checks the retry delay in refusals and its range.
 func TestRetryAfterFollowsFreedRate(t *testing.T) {
 	rate := &freedRate{}
 	now := time.Now()
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -28,13 +28,14 @@
 	return r.decayed(now) / rateTimeConstant.Seconds()
 }
 
-// The range of the retry time in refusals.
+// The range of the retry delay in refusals.
 const (
 	minRetryAfter = 300 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// retryAfter estimates the time after which a job with a number of tokens will fit.
+// retryAfter returns the retry delay of a refused job: the estimated time until its tokens
+// fit.
 func retryAfter(tokens int64, outcome Outcome) time.Duration {
 	missing := float64(outcome.Waiting + tokens - outcome.Limit)
 	if outcome.FreedPerSecond <= 0 {
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -65,7 +65,8 @@
 	if wait >= maxRetryAfter {
 		return maxRetryAfter
 	}
-	// All coordinators are asked for the same request, and all shards refill meanwhile.
+	// All shards are asked before a request is refused, and all of them refill. Retries are
+	// therefore spaced by the rate of the limit, not of this shard.
 	b.nextRetryAt = next.Add(secondsOf(1 / s.limitPerSecond))
 	return max(wait, minRetryAfter)
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -76,12 +76,12 @@
 	}
 	limiter.rankings = newRankings(fleet)
 	limiter.rankings.onChange = limiter.recordGrantedShare
-	metrics.SetGranted(fullReach)
+	metrics.SetGranted(fullShare)
 	return limiter
 }
 
 // WatchFleet refreshes the view of the fleet until the context ends, as long as hasLimits
-// returns true. Otherwise a daemon without requests would not detect a network partition.
+// returns true. Without it a daemon that gets no requests would not detect a network partition.
 func (l *Limiter) WatchFleet(ctx context.Context, hasLimits func() bool) {
 	periodic.Run(ctx, rankingInterval, func() {
 		if hasLimits() {
@@ -90,12 +90,11 @@
 	})
 }
 
-// recordGrantedShare records that the share that this daemon grants of its shards has changed,
-// because another part of the fleet reaches it.
+// recordGrantedShare records a change of the share that this daemon grants of its shards.
 func (l *Limiter) recordGrantedShare(before, after ranking) {
-	l.metrics.SetGranted(after.reach)
+	l.metrics.SetGranted(after.granted)
 	l.log.Info("limit_granted_share_changed",
-		"before", before.reach, "after", after.reach, "fleet", after.fleet, "unreached", after.unreached)
+		"before", before.granted, "after", after.granted, "fleet", after.fleet, "unreached", after.notReaching)
 }
 
 // Admit decides on one request of a tenant.
@@ -240,9 +239,9 @@
 		shards := l.shardCount(Limit{Limit: bound}, order)
 		isBackup = rank < 0 || rank >= shards || !order.isKnown
 		if isBackup {
-			return l.tolerance.backupShard(bound, l.tolerance.shardCount(bound, maxShards), order.reach)
+			return l.tolerance.backupShard(bound, l.tolerance.shardCount(bound, maxShards), order.granted)
 		}
-		return l.tolerance.shard(bound, shards, order.reach)
+		return l.tolerance.shard(bound, shards, order.granted)
 	}, now)
 	answer.IsBackup = isBackup
 	return answer
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -24,15 +24,15 @@
 		own := share{perSecond: rapid.Float64Range(0.1, 50).Draw(t, "rate"), capacity: rapid.Float64Range(1, 30).Draw(t, "capacity")}
 		own.limitPerSecond = own.perSecond
 		now := time.Unix(1000, 0)
-		held := newBucket(own, now)
+		tested := newBucket(own, now)
 		granted := []time.Time{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "millis")) * time.Millisecond)
-			if held.take(own, now) {
+			if tested.take(own, now) {
 				granted = append(granted, now)
 				continue
 			}
-			wait := held.retryAfter(own, now)
+			wait := tested.retryAfter(own, now)
 			require.Positive(t, wait)
 			require.LessOrEqual(t, wait, maxRetryAfter)
 		}
@@ -50,11 +50,11 @@
 func TestRefusedRequestsGetDistinctRetryTimes(t *testing.T) {
 	own := share{perSecond: 10, limitPerSecond: 10, capacity: 1}
 	now := time.Unix(1000, 0)
-	held := newBucket(own, now)
+	tested := newBucket(own, now)
 	last := time.Duration(0)
 	for range 10 {
-		require.False(t, held.take(own, now))
-		wait := held.retryAfter(own, now)
+		require.False(t, tested.take(own, now))
+		wait := tested.retryAfter(own, now)
 		require.Greater(t, wait, last)
 		last = wait
 	}
--- a/internal/ratelimit/partition_test.go
+++ b/internal/ratelimit/partition_test.go
@@ -85,7 +85,7 @@
 	return p.divides(self, other) && !now.Before(p.from) && now.Before(p.until.Add(p.reconnected[pair{self, other}]))
 }
 
-// isSeen reports whether a daemon takes another for live.
+// isSeen reports whether a daemon counts another as live.
 func (p *partition) isSeen(self, other string, now time.Time) bool {
 	between := pair{self, other}
 	isMissing := !now.Before(p.from.Add(p.detected[between]))
--- a/internal/ratelimit/ranking.go
+++ b/internal/ratelimit/ranking.go
@@ -30,11 +30,11 @@
 // Missing daemons keep their rank, so that a shard doesn't move with each daemon's view.
 type ranking struct {
 	daemons []Daemon
-	// fleet is the number of daemons, unreached how many of them may not reach this one.
-	fleet, unreached int
-	// reach is the share of a shard that this daemon grants, by the part of the fleet that
-	// reaches it.
-	reach   float64
+	// fleet is the number of daemons, notReaching how many of them may not reach this one.
+	fleet, notReaching int
+	// granted is the share of a shard that this daemon grants. It depends on the part of the
+	// fleet that reaches this daemon.
+	granted float64
 	isKnown bool
 	at      time.Time
 }
@@ -60,7 +60,7 @@
 }
 
 func newRankings(fleet Fleet) *rankings {
-	return &rankings{fleet: fleet, byTenant: map[string]ranking{}, reachability: newReachability(), onChange: func(ranking, ranking) {}, reported: ranking{reach: fullReach}}
+	return &rankings{fleet: fleet, byTenant: map[string]ranking{}, reachability: newReachability(), onChange: func(ranking, ranking) {}, reported: ranking{granted: fullShare}}
 }
 
 // forTenant returns the ranking for a tenant.
@@ -94,21 +94,21 @@
 	r.refreshLocked(now)
 }
 
-// fullReach is the share that a daemon grants of its shards if the whole fleet reaches it.
-const fullReach = 1.0
+// fullShare is the share that a daemon grants of its shards if the whole fleet reaches it.
+const fullShare = 1.0
 
 // computePool computes the pool from the current view. mutex must be held.
 func (r *rankings) computePool(now time.Time) ranking {
 	seen := r.fleet.View()
 	all := slices.Concat(seen.Daemons, seen.Missing)
 	r.reachability.recordMissing(seen.Missing, now)
-	unreached := r.reachability.unreached(all, now)
+	notReaching := r.reachability.notReaching(all, now)
 	current := ranking{
-		daemons: topDaemons(poolKey, all, poolSize), fleet: len(all), unreached: unreached,
-		reach: grantedShare(1 - float64(unreached)/float64(max(len(all), 1))), isKnown: seen.IsKnown, at: now,
+		daemons: topDaemons(poolKey, all, poolSize), fleet: len(all), notReaching: notReaching,
+		granted: grantedShare(1 - float64(notReaching)/float64(max(len(all), 1))), isKnown: seen.IsKnown, at: now,
 	}
-	isFullAgain := current.reach == fullReach && r.reported.reach != fullReach
-	if math.Abs(current.reach-r.reported.reach) >= minReportedChange || isFullAgain {
+	isFullAgain := current.granted == fullShare && r.reported.granted != fullShare
+	if math.Abs(current.granted-r.reported.granted) >= minReportedChange || isFullAgain {
 		r.onChange(r.reported, current)
 		r.reported = current
 	}
--- a/internal/ratelimit/reach.go
+++ b/internal/ratelimit/reach.go
@@ -14,17 +14,17 @@
 	// askMemory is how long a daemon counts as reaching this one after a request, whatever the
 	// membership reports.
 	askMemory = 2 * rankingInterval
-	// minReach is the smallest share of a shard that a coordinator grants while at least a
+	// minGranted is the smallest share of a shard that a coordinator grants while at least a
 	// quarter of the fleet reaches it. It is what the own shares of the other three quarters
 	// leave of the shard.
-	minReach = 0.475
+	minGranted = 0.475
 )
 
 // grantedShare returns the share of a shard that a daemon grants if the given part of the fleet
 // reaches it. Both sides of a network partition together grant at most 1.01 of a shard. A side
 // of less than a quarter of the fleet grants at most twice its part.
 func grantedShare(reach float64) float64 {
-	return min(max(reach, minReach), 2*reach)
+	return min(max(reach, minGranted), 2*reach)
 }
 
 // reachability holds which daemons reach this one. Its times are by daemon name.
@@ -47,9 +47,9 @@
 	maps.DeleteFunc(r.askedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= askMemory })
 }
 
-// unreached counts the daemons that may not reach this one. recordMissing must have been
+// notReaching counts the daemons that may not reach this one. recordMissing must have been
 // called.
-func (r reachability) unreached(daemons []Daemon, now time.Time) int {
+func (r reachability) notReaching(daemons []Daemon, now time.Time) int {
 	count := 0
 	for _, daemon := range daemons {
 		missingAt, isMissing := r.missingAt[daemon.Name]
--- a/internal/ratelimit/reach_test.go
+++ b/internal/ratelimit/reach_test.go
@@ -26,20 +26,20 @@
 }
 
 // TestMissingDaemonsStayUnreachedForGracePeriod fails if a daemon that is seen again counts as
-// reached while it may still treat this one as silent.
+// reaching this one while it may still treat this one as silent.
 func TestMissingDaemonsStayUnreachedForGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := []Daemon{{Name: "a"}, {Name: "b"}}
-	held := newReachability()
-	held.recordMissing(nil, now)
-	require.Equal(t, 0, held.unreached(all, now))
-	held.recordMissing(all[:1], now)
-	require.Equal(t, 1, held.unreached(all, now))
-	held.recordMissing(nil, now.Add(missingGrace-1))
-	require.Equal(t, 1, held.unreached(all, now.Add(missingGrace-1)))
-	held.recordMissing(nil, now.Add(missingGrace))
-	require.Equal(t, 0, held.unreached(all, now.Add(missingGrace)))
-	require.Empty(t, held.missingAt)
+	reaching := newReachability()
+	reaching.recordMissing(nil, now)
+	require.Equal(t, 0, reaching.notReaching(all, now))
+	reaching.recordMissing(all[:1], now)
+	require.Equal(t, 1, reaching.notReaching(all, now))
+	reaching.recordMissing(nil, now.Add(missingGrace-1))
+	require.Equal(t, 1, reaching.notReaching(all, now.Add(missingGrace-1)))
+	reaching.recordMissing(nil, now.Add(missingGrace))
+	require.Equal(t, 0, reaching.notReaching(all, now.Add(missingGrace)))
+	require.Empty(t, reaching.missingAt)
 }
 
 // TestMissingDaemonsKeepTheirRank fails if missing daemons are forgotten before
@@ -48,13 +48,13 @@
 	now := time.Unix(1000, 0)
 	all := []Daemon{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	hasLeft := func(name string) bool { return name == "c" }
-	held := recentDaemons{}
-	require.Empty(t, held.missing(all, hasLeft, now))
+	recent := recentDaemons{}
+	require.Empty(t, recent.missing(all, hasLeft, now))
 	// A daemon is missing from the first call at which it isn't live.
 	now = now.Add(2 * missingRetention)
-	require.Equal(t, []Daemon{{Name: "b"}}, held.missing(all[:1], hasLeft, now))
-	require.Equal(t, []Daemon{{Name: "b"}}, held.missing(all[:1], hasLeft, now.Add(missingRetention-time.Millisecond)))
-	require.Empty(t, held.missing(all[:1], hasLeft, now.Add(missingRetention)))
+	require.Equal(t, []Daemon{{Name: "b"}}, recent.missing(all[:1], hasLeft, now))
+	require.Equal(t, []Daemon{{Name: "b"}}, recent.missing(all[:1], hasLeft, now.Add(missingRetention-time.Millisecond)))
+	require.Empty(t, recent.missing(all[:1], hasLeft, now.Add(missingRetention)))
 }
 
 // TestMissingCoordinatorsStayRanked fails if the sides of a partition rank daemons differently
@@ -87,19 +87,19 @@
 func TestMissingDaemonsThatAskCountAsReached(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := View{Daemons: []Daemon{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Missing: []Daemon{{Name: "d"}}, IsKnown: true}
-	held := newRankings(isolatedFleet{view: view})
+	ranked := newRankings(isolatedFleet{view: view})
 	changes := 0
-	held.onChange = func(_, _ ranking) { changes++ }
-	require.InDelta(t, 0.75, held.forTenant("t", now).reach, 1e-9)
+	ranked.onChange = func(_, _ ranking) { changes++ }
+	require.InDelta(t, 0.75, ranked.forTenant("t", now).granted, 1e-9)
 	for range 4 {
 		now = now.Add(rankingInterval)
-		held.recordAsk("d", now)
-		held.recordAsk("a", now)
-		held.forTenant("t", now)
+		ranked.recordAsk("d", now)
+		ranked.recordAsk("a", now)
+		ranked.forTenant("t", now)
 	}
-	require.InDelta(t, 1.0, held.forTenant("t", now).reach, 1e-9)
+	require.InDelta(t, 1.0, ranked.forTenant("t", now).granted, 1e-9)
 	now = now.Add(askMemory)
-	require.InDelta(t, 0.75, held.forTenant("t", now).reach, 1e-9)
-	require.Empty(t, held.reachability.askedAt)
+	require.InDelta(t, 0.75, ranked.forTenant("t", now).granted, 1e-9)
+	require.Empty(t, ranked.reachability.askedAt)
 	require.Equal(t, 3, changes, "at the start, when they ask, when they do not")
 }
--- a/internal/ratelimit/recent.go
+++ b/internal/ratelimit/recent.go
@@ -18,23 +18,23 @@
 
 // missing records the live daemons and returns those that were seen within missingRetention and
 // are neither live nor have left.
-func (s recentDaemons) missing(live []Daemon, hasLeft func(name string) bool, now time.Time) []Daemon {
+func (r recentDaemons) missing(live []Daemon, hasLeft func(name string) bool, now time.Time) []Daemon {
 	isLive := make(map[string]bool, len(live))
 	for _, daemon := range live {
 		isLive[daemon.Name] = true
-		s[daemon.Name] = recentDaemon{daemon: daemon}
+		r[daemon.Name] = recentDaemon{daemon: daemon}
 	}
 	missing := []Daemon{}
-	for name, seen := range s {
+	for name, seen := range r {
 		if isLive[name] {
 			continue
 		}
 		if seen.missingSince.IsZero() {
 			seen.missingSince = now
-			s[name] = seen
+			r[name] = seen
 		}
 		if hasLeft(name) || now.Sub(seen.missingSince) >= missingRetention {
-			delete(s, name)
+			delete(r, name)
 			continue
 		}
 		missing = append(missing, seen.daemon)
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -80,14 +80,15 @@
 	return max(min(int(t.unsplit(limit).capacity), maxCount), minShards)
 }
 
-// shard returns one of several equal shards of a limit, reduced by the coordinator's reach.
-func (t Tolerance) shard(limit tenant.Limit, shards int, reach float64) share {
-	return t.unsplit(limit).scaled(reach / float64(shards))
+// shard returns one of several equal shards of a limit, of which the coordinator grants
+// the given share.
+func (t Tolerance) shard(limit tenant.Limit, shards int, granted float64) share {
+	return t.unsplit(limit).scaled(granted / float64(shards))
 }
 
 // backupShard returns what a backup coordinator grants in place of the coordinator of a shard.
-func (t Tolerance) backupShard(limit tenant.Limit, shards int, reach float64) share {
-	return t.shard(limit, shards, reach).scaled(backupShare)
+func (t Tolerance) backupShard(limit tenant.Limit, shards int, granted float64) share {
+	return t.shard(limit, shards, granted).scaled(backupShare)
 }
 
 // ownShare returns what each of the daemons grants while it reaches no coordinator. Its
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -86,7 +86,7 @@
 	return View{Daemons: seen, Missing: missing, IsKnown: true}
 }
 
-// isSeen reports whether a daemon takes another for live. mutex must be held.
+// isSeen reports whether a daemon counts another as live. mutex must be held.
 func (m *fleetModel) isSeen(self, other *daemonState) bool {
 	isLost := other.isDown || other.side != self.side || time.Now().Before(other.wakesAt)
 	lostAt, isNoted := m.lostAt[other.name]
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,8 +1,9 @@
 // Package topology computes which daemons and backends a daemon exchanges state with: the
-// start of its section on the ring of backends, the daemons that share backends with it,
-// and the number of daemons per zone that watch the store for the others. These bounds keep
-// the state and messages of a daemon independent of the size of the fleet. All functions are
-// pure: daemons with the same member list get the same results.
+// start of its section (the backends that it uses) on the ring of backends, the daemons
+// that share backends with it, and the number of upstreams per zone. An upstream watches
+// the store for other daemons, its followers. These bounds keep the state and messages of
+// a daemon independent of the size of the fleet. All functions are pure: daemons with the
+// same member list get the same results.
 package topology
 
 import (
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,8 +1,9 @@
-// Package warmup divides the request rate of a cold backend among the daemons of a fleet
-// without messages. A backend that has just started, or whose zone was reopened, is slow
-// for some seconds and is overloaded if every daemon selects it as the least loaded one.
-// Time is divided into windows. In each window a backend has a fleet-wide allowance of
-// requests, and rendezvous hashing assigns each of them to one daemon.
+// Package warmup divides the request rate of a cold backend among the daemons of a fleet.
+// The daemons exchange no messages for this. A backend that has just started, or whose
+// zone was reopened, is slow for some seconds and is overloaded if every daemon selects
+// it as the least loaded one. Time is divided into windows. In each window a backend has
+// a fleet-wide allowance of requests, and rendezvous hashing assigns each of them to one
+// daemon.
 package warmup
 
 import (
--- a/test/mutants.d/limits.sh
+++ b/test/mutants.d/limits.sh
@@ -6,7 +6,7 @@
 mutant daemons_that_left_are_missed internal/ratelimit/recent.go \
 	'hasLeft(name) || ' '' internal/ratelimit TestMissingDaemonsKeepTheirRank
 mutant sides_of_a_cut_grant_all internal/ratelimit/reach.go \
-	'return min(max(reach, minReach), 2*reach)' 'return 1' internal/ratelimit TestPartitionSidesGrantAtMostOneShard
+	'return min(max(reach, minGranted), 2*reach)' 'return 1' internal/ratelimit TestPartitionSidesGrantAtMostOneShard
 mutant seen_again_is_reached_at_once internal/ratelimit/reach.go \
 	'now.Sub(missingAt) < missingGrace && !isReaching' 'now.Equal(missingAt) && !isReaching' internal/ratelimit TestMissingDaemonsStayUnreachedForGracePeriod
 mutant asking_daemons_are_not_reached internal/ratelimit/reach.go \
--- a/test/mutants.d/waiting.sh
+++ b/test/mutants.d/waiting.sh
@@ -26,7 +26,7 @@
 mutant waiting_own_sums_told_back internal/exchange/message.go \
 	'queueStatsWithout(l.queueStats, part.queueStats)' 'l.queueStats' internal/exchange TestRelayAddsQueueStats
 mutant waiting_never_leaves internal/backend/waiting.go \
-	'delete(w.set.wait(w.service).onTimeUntil, w)' '' internal/backend TestQueueStats
+	'delete(w.set.queueOf(w.service).onTimeUntil, w)' '' internal/backend TestQueueStats
 mutant waiting_nothing_freed internal/backend/lease.go \
 	'	if hadSlot {' '	if hadSlot && false {' internal/backend TestQueueStats
 mutant waiting_peers_kept internal/backend/waiting.go \
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -226,7 +226,7 @@
 mutant full_stand_in internal/ratelimit/share.go \
 	'backupShare = 0.2' 'backupShare = 1.0' internal/ratelimit TestNoWindowExceedsLimit
 mutant both_sides_of_a_cut_grant_all internal/ratelimit/share.go \
-	'scaled(reach / float64(shards))' 'scaled(1 / float64(shards))' internal/ratelimit TestNoWindowExceedsLimit
+	'scaled(granted / float64(shards))' 'scaled(1 / float64(shards))' internal/ratelimit TestNoWindowExceedsLimit
 mutant old_limit_wins internal/ratelimit/buckets.go \
 	'limit.Config >= entry.limit.Config' 'true' internal/ratelimit TestOlderConfigDoesNotReplaceNewerLimit
 mutant nothing_given_back internal/serving/admit.go \
